--- a/src/decisions/adapter_plan.cc
+++ b/src/decisions/adapter_plan.cc
@@ -9,19 +9,22 @@
 
 namespace {
 
-// Slots of an engine that are left for adapters which are asked for.
+// Slots of each engine that stay free for adapters loaded on request.
 constexpr std::int64_t kReservedSlots = 2;
 
-// Models below this many requests a second get no adapters ahead.
+// Adapters are loaded ahead only for models with at least this many requests
+// per second.
 constexpr double kMinRate = 0.5;
 
-// What one more engine with an adapter must be worth, in requests a second:
-// without a bound every slot of every engine is filled, however many there are.
+// Minimum value of loading an adapter on one more engine, in requests per
+// second. Without a bound every slot of every engine would be filled,
+// regardless of the number of engines.
 constexpr double kMinValue = 0.005;
 
 using unit_count = std::map<adapter_unit, std::int64_t>;
 
-// The adapter that an engine should have next; nothing if none.
+// Returns the adapter with the highest value for an engine, if any reaches the
+// minimum.
 std::optional<adapter_unit> NextAdapter(
     const std::vector<adapter_model>& models,
     const adapter_engine& engine,
--- a/src/decisions/adapter_plan.h
+++ b/src/decisions/adapter_plan.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Which adapters to load before they are asked for. An engine takes none while
-// it loads or gives up a model, so a request that names an absent adapter then
-// has nowhere to go in time; adapters that are there already serve it.
+// Plans which adapters to load before requests name them. An engine accepts no
+// adapter while it loads or unloads a model, so a request for an adapter that
+// is not loaded would then miss its objective.
 #ifndef VALELEDGE_DECISIONS_ADAPTER_PLAN_H_
 #define VALELEDGE_DECISIONS_ADAPTER_PLAN_H_
 
@@ -15,11 +15,11 @@
 // A model with adapters, numbered from 0.
 struct adapter_model {
   std::int64_t adapters = 0;
-  // Requests a second for the model, with whatever adapter or none.
+  // Requests per second for the model, with any adapter or none.
   double arrival_rate = 0;
 };
 
-// A model, by its position in the list of models, and one of its adapters.
+// One adapter of a model; the model is an index into the list of models.
 struct adapter_unit {
   std::size_t model = 0;
   std::int64_t adapter = 0;
@@ -27,9 +27,9 @@
   auto operator<=>(const adapter_unit&) const = default;
 };
 
-// An engine that serves.
+// An engine that serves requests.
 struct adapter_engine {
-  // It may be given an order now.
+  // An order may be sent to it now.
   bool accepts_orders = true;
   std::int64_t free_slots = 0;
   std::vector<std::size_t> models;
@@ -41,9 +41,10 @@
   adapter_unit unit;
 };
 
-// Adapters to load now, at most `most` on each engine: those first that are
-// probably asked for most by the fewest places that hold them. Some slots of
-// each engine are left for what is asked for and not foreseen.
+// Returns the adapters to load now, at most `max_per_engine` on each engine.
+// Adapters with the highest expected request rate per engine that holds them
+// come first. Some slots of each engine stay free for requests that name an
+// adapter which was not loaded ahead.
 std::vector<adapter_step> PlanAdapters(
     const std::vector<adapter_model>& models,
     const std::vector<adapter_engine>& engines,
--- a/src/decisions/demand_shift.cc
+++ b/src/decisions/demand_shift.cc
@@ -10,31 +10,32 @@
 
 namespace {
 
-// A move takes 4 to 9 s: demand is compared with what it was so long ago.
+// A shift takes 4 to 9 s; demand is compared with samples of up to this age.
 constexpr std::chrono::milliseconds kComparisonWindow{9000};
 
-// Samples are this far apart: a tenth of the shortest move and more.
+// About an eighth of the shortest shift.
 constexpr std::chrono::milliseconds kSampleInterval{500};
 
-// Steps that are looked for; moves by one and by two have been seen.
+// The largest step that is detected, and the largest that is expected before
+// the first shift: shifts by one and by two positions occur.
 constexpr std::size_t kMaxStep = 4;
 constexpr std::size_t kLikelyStep = 2;
 
-// Two shares of demand differ by 0 (the same) to 1 (nothing in common). In
-// trials, demand nine seconds apart differed by 0.12 to 0.25 without a move,
-// and by 0.31 to 0.46 with one.
+// Minimum difference between two distributions of demand that counts as a
+// shift, from 0 (equal) to 1 (nothing in common). Over 9 s, demand differs by
+// 0.12 to 0.25 without a shift, and by 0.31 to 0.46 with one.
 constexpr double kMinDifference = 0.3;
-// A step explains a move if it leaves at most this part of the difference:
-// moves seen in trials leave 0.35 to 0.73 by their own step, and 0.8 to 1.1
-// by others.
+// A step explains a shift if at most this share of the difference remains
+// after it: 0.35 to 0.73 remains after the actual step, 0.8 to 1.1 after
+// others.
 constexpr double kMaxRemainingShare = 0.75;
 
 double Sum(const std::vector<double>& values) {
   return std::accumulate(values.begin(), values.end(), 0.0);
 }
 
-// How far `now` differs from `before` moved on by `step` places, as a share of
-// all demand.
+// Returns the difference between `now` and `before` shifted by `step`
+// positions, as a share of all demand.
 double DifferenceAfter(const std::vector<double>& before,
                        const std::vector<double>& now,
                        std::size_t step) {
@@ -82,7 +83,7 @@
   shift.samples.push_back({now, demand});
   while (now - shift.samples.front().time > kComparisonWindow)
     shift.samples.pop_front();
-  // A move shows against whatever was before it, however short it was.
+  // The oldest sample serves as the reference, even if the window is not full.
   const auto step = StepBetween(shift.samples.front().demand, demand);
   if (step)
     shift.step = step;
--- a/src/decisions/demand_shift.h
+++ b/src/decisions/demand_shift.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// How demand moves along the operators' list of models: by how many places,
-// learned from earlier moves, and what each model is therefore expected to be
-// asked for soon.
+// Predicts how demand shifts along the operators' list of models: learns from
+// earlier shifts by how many positions it moves, and derives the demand that
+// each model should expect next.
 #ifndef VALELEDGE_DECISIONS_DEMAND_SHIFT_H_
 #define VALELEDGE_DECISIONS_DEMAND_SHIFT_H_
 
@@ -16,7 +16,7 @@
 
 namespace detail {
 
-// The demand for each model of the list at one moment.
+// The demand for each model of the list at one point in time.
 struct demand_sample {
   base::time_point time;
   std::vector<double> demand;
@@ -24,22 +24,22 @@
 
 }  // namespace detail
 
-// What is remembered of demand, the oldest sample first.
+// Recent demand samples, oldest first, and the step learned from them.
 struct demand_shift {
   std::deque<detail::demand_sample> samples;
-  // Places by which demand moved last; unknown before the first move.
+  // Positions by which demand moved in the last shift; unset before the first.
   std::optional<std::size_t> step;
 };
 
-// Takes in the demand for each model in the order of the list, in any unit
-// that stays the same.
+// Records the demand for each model, in the order of the list. Any unit will do
+// as long as it is the same in all calls.
 void RecordDemand(demand_shift& shift,
                   base::time_point now,
                   const std::vector<double>& demand);
 
-// What each model will be asked for after the next move, in the same unit:
-// what the model `step` places before it is asked for now. Before the first
-// move the largest of what each likely step would bring.
+// Returns the expected demand for each model after the next shift, in the same
+// unit: the present demand for the model `step` positions before it. Before the
+// first shift, the maximum over the likely steps.
 std::vector<double> DemandAfterShift(const demand_shift& shift,
                                      const std::vector<double>& demand);
 
--- a/src/decisions/engine_admission.cc
+++ b/src/decisions/engine_admission.cc
@@ -9,15 +9,15 @@
 
 using milliseconds = std::chrono::duration<double, std::milli>;
 
-// A stream pauses while its engine reads other prompts. A request waits for an
-// engine that has at most this part of the accepted pause to read before it: an
-// event is a few steps long, and each may read one more prompt. Measured on
-// high days: of streams sent behind 40 ms of reading 5% paused too long, behind
-// 40 to 80 ms 24%.
+// A stream pauses while its engine reads other prompts. A request waits until
+// the engine's prompt backlog is at most this share of the accepted pause: an
+// event takes a few steps, and each step may read one more prompt. Under high
+// load 5% of the streams sent behind up to 40 ms of backlog pause too long, and
+// 24% of those behind 40 to 80 ms.
 constexpr double kMaxBacklogShare = 0.12;
 
-// A request that is late already waits so long for its turn at the most: its
-// caller gives a silent answer up after two seconds or more.
+// Maximum wait of a request that is late and may not be refused: callers time
+// out on a response without events after 2 s or more.
 constexpr milliseconds kMaxLateWait{1000};
 
 }  // namespace
@@ -30,7 +30,7 @@
       engine.prompt_backlog - engine.max_event_gap * kMaxBacklogShare;
   const milliseconds limit =
       engine.refusable ? milliseconds(engine.objective) : kMaxLateWait;
-  // Waiting costs nothing as long as the answer begins in time all the same.
+  // Waiting is harmless as long as the response still starts in time.
   const bool may_wait = response_at + engine.recheck_interval <= limit;
   return excess_backlog.count() > 0 && may_wait ? admission_decision::kWait
                                                 : admission_decision::kSend;
--- a/src/decisions/engine_admission.h
+++ b/src/decisions/engine_admission.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Whether a request goes to an engine now, waits for its turn there, or is
-// refused because it would come too late. Answers bursts and rises of demand
-// for a model beyond what its replicas can read.
+// Decides whether a request is sent to an engine now, waits, or is refused
+// because its response would start too late. Handles bursts and increases of
+// demand for a model beyond the rate at which its replicas read prompts.
 #ifndef VALELEDGE_DECISIONS_ENGINE_ADMISSION_H_
 #define VALELEDGE_DECISIONS_ENGINE_ADMISSION_H_
 
@@ -9,20 +9,22 @@
 
 namespace valeledge::decisions {
 
-// The best engine for a request, as the request sees it.
+// The best engine for a request, and the request's time limits.
 struct engine_candidate {
-  // Since the request arrived, and when its answer should have begun.
+  // Time since the request arrived, and the time limit from its arrival to the
+  // start of the response.
   std::chrono::milliseconds waited{0};
   std::chrono::milliseconds objective{0};
-  // From now until its answer would begin.
+  // Expected time from now until the response starts.
   std::chrono::duration<double, std::milli> response_in{0};
-  // How long the engine reads prompts that came before.
+  // Time the engine needs to read the prompts that are ahead of this one.
   std::chrono::duration<double, std::milli> prompt_backlog{0};
-  // The longest pause that streams of such requests accept.
+  // Maximum pause between two events that streams of such requests accept.
   std::chrono::milliseconds max_event_gap{0};
-  // A request that waits is looked at again after so long.
+  // Time after which the decision for a waiting request is made again.
   std::chrono::milliseconds recheck_interval{0};
-  // It may be refused: it has not run, and was not refused before.
+  // Whether the request may be refused: it has not run, and has not been
+  // refused before.
   bool refusable = true;
 };
 
--- a/src/decisions/engine_discovery.cc
+++ b/src/decisions/engine_discovery.cc
@@ -9,15 +9,15 @@
 
 using std::chrono::milliseconds;
 
-// Without a new engine for so long all are taken to be known, and after so
-// long in any case.
+// Discovery is complete after this time without a new engine, and after the
+// maximum in any case.
 constexpr milliseconds kQuietPeriod{900};
 constexpr milliseconds kMaxDiscoveryTime{4000};
 
 }  // namespace
 
 bool IsDiscoveryComplete(const discovery_state& state) {
-  // A host that has been there for longer knows them from their entries.
+  // A host that has run for longer has seen the entries of all engines.
   const bool recently_started =
       state.since_start < state.heartbeat + kMaxDiscoveryTime;
   const milliseconds quiet_period =
--- a/src/decisions/model_plan.cc
+++ b/src/decisions/model_plan.cc
@@ -11,82 +11,87 @@
 
 namespace {
 
-// Milliseconds in a second that an engine may read prompts for one model:
-// running streams pause meanwhile, and a few prompts together are as long as
+// Milliseconds per second for which an engine may read prompts of one model.
+// Running streams pause meanwhile, and a few prompts in a row take as long as
 // the pause that callers accept.
 constexpr double kWorkPerReplica = 250;
 
-// Beyond this part of its slots an engine's batch is slow.
+// An engine's batch is slow if more than this share of its slots is in use.
 constexpr double kMaxSlotUtilization = 0.5;
 
-// A replica that loads for long is worth less: demand moves on within about
-// so many milliseconds.
+// Demand shifts to other models within about this time, so a replica that takes
+// long to load has less value.
 constexpr double kLoadHorizonMs = 8000;
 constexpr double kMinLoadFactor = 0.1;
 
-// What is expected soon counts for this part of what is asked for now.
+// Weight of expected demand relative to present demand.
 constexpr double kForecastWeight = 0.3;
 
-// The part of a model's requests that a loss of one of its engines endangers:
-// engines are away for seconds at a time, about a thirtieth of all time.
+// Share of a model's requests that are at risk if one of its engines is lost:
+// engines are unavailable for seconds at a time, about a thirtieth of the time.
 constexpr double kEngineLossShare = 0.04;
 
-// Requests that can wait for a load from a copy are served without a replica,
-// but some come late, and the load takes a place all the same.
+// Value of a model without a replica if its requests can wait for a load from a
+// weight copy, as a share of its rate: some are served too late, and the load
+// occupies an engine all the same.
 constexpr double kDeferrableShare = 0.5;
 
-// Requests a second that are assumed for every model that nobody asks for: it
-// stays where nothing else needs the room.
+// Minimum rate assumed for a model without requests, in requests per second: it
+// stays loaded where nothing else needs the memory.
 constexpr double kMinRate = 0.02;
-// The same for a model of which no engine has a copy: each model is to be
-// reachable, and this one would take the longest.
+// The same for a model without a weight copy on any engine: every model has to
+// be reachable, and this one would take the longest to load.
 constexpr double kMinRateWithoutCopy = 1.0;
 
-// A rate over a longer time counts up to here, in requests a second: it tells
-// whether a model that is seldom asked for is idle, not whether demand falls.
+// Upper bound of the long-term rate, in requests per second: this rate shows
+// whether a model with few requests is idle, not whether demand is falling.
 constexpr double kMaxSteadyRate = 1.0;
 
-// What comes must add this much more than what goes takes away.
+// Minimum ratio between the gain of a new replica and the loss by the evictions
+// that it needs.
 constexpr double kMinGainLossRatio = 1.3;
-// Least gain, in requests a second, for which an order is given.
+// Minimum gain for which an order is sent, in requests per second.
 constexpr double kMinGain = 0.01;
 
-// Engines with weights that may load from the weight store at one time, as a
-// part of all: a load takes several times as long as one from a disk, and until
-// it ends the engine takes neither other models nor adapters. One that has no
-// weights in any way takes nothing from anybody while it loads: after a series
-// of replacements most engines are like that.
+// Maximum share of engines that may load from the weight store at the same time
+// while they have weights of other models. Such a load takes several times as
+// long as one from disk, and until it ends the engine accepts neither other
+// models nor adapters. Engines without any weights are exempt, because loading
+// keeps nothing else from being served; after a series of replacements most
+// engines are in that state.
 constexpr double kStoreLoadShare = 0.25;
 
-// Engines that should have a copy of a model that nobody asks for: the loss of
-// one then leaves another.
+// Minimum number of engines with a weight copy of a model without demand: one
+// copy is left if an engine is lost.
 constexpr std::int64_t kMinWeightCopies = 2;
-// The same for one that is expected to be asked for, beside the replicas that
-// it will need: copies are where other models are in demand, too.
+// Weight copies of a model with expected demand beyond the replicas that it
+// will need: engines with a copy may be needed for other models in demand.
 constexpr std::int64_t kSpareWeightCopies = 1;
-// What a copy may take away, as a part of the rate that it prepares for: it is
-// worth the seconds by which a load from a disk is faster, if the rise comes.
+// Maximum loss that a weight copy may cause, as a share of the expected rate.
+// Its benefit is the seconds by which a load from disk is faster if the demand
+// rises.
 constexpr double kCopyLossShare = 0.05;
-// Loads from the weight store that are left for the first requests. Once there
-// are requests no copies are made ahead: they keep engines busy that other
-// loads need (mean worth of 20 days 0.546 without, 0.534 with them).
+// Loads from the weight store that are reserved for the first requests. Once
+// there are requests no copies are made ahead, because they occupy engines that
+// other loads need (mean value over 20 test days: 0.546 without, 0.534 with
+// them).
 constexpr std::int64_t kReservedStoreLoads = 3;
 
-// A replica on an engine whose slots are taken serves little, but may serve
-// what finds no other.
+// Minimum free share of an engine: a replica on an engine without free slots
+// serves little, but may serve requests that find no other replica.
 constexpr double kMinFreeShare = 0.2;
 
-// Preferences among engines, in requests a second: one that has less to do,
-// a zone without a replica, nothing that has to go first.
+// Penalties in the choice of an engine, in requests per second: for each
+// running request, for each replica in the same zone, and for each eviction.
 constexpr double kRunningCost = 0.02;
 constexpr double kZoneCost = 0.3;
 constexpr double kEvictionCost = 0.4;
 
-// Engines that are looked at for one replica, of those with a copy of the
-// weights and of those without one each: the steps of a plan grow with engines,
-// and so would the work of each step.
+// Maximum number of candidates for one replica, separately for engines with a
+// weight copy and for all engines. The number of steps of a plan grows with the
+// number of engines; without a bound so would the work of each step.
 constexpr std::size_t kMaxScanned = 256;
-// The same with those that turn out to hold the model or to be busy.
+// The same including engines that hold the model already or are busy.
 constexpr std::size_t kMaxVisited = 4 * kMaxScanned;
 
 bool Contains(const std::vector<std::size_t>& set, std::size_t value) {
@@ -98,25 +103,27 @@
   const std::vector<plan_model>& models;
   std::vector<plan_engine> engines;
   plan_limits limits;
-  // Engines with weights that may begin to load from the weight store.
+  // Engines with weights of other models that may still start to load from the
+  // weight store.
   std::int64_t nonempty_store_loads = 0;
-  // Replicas that serve, and those with what is being loaded.
+  // Replicas of each model that serve, and the same with those being loaded.
   std::vector<std::int64_t> ready;
   std::vector<std::int64_t> planned;
-  // Engines that hold the weights in any way.
+  // Engines that have the weights of each model loaded, in memory or on disk.
   std::vector<std::int64_t> weight_copies;
   // The zone of each engine as a number, and the replicas of each model by
-  // zone, with what is being loaded.
+  // zone, including those being loaded.
   std::vector<std::size_t> engine_zones;
   std::vector<std::vector<std::int64_t>> replicas_by_zone;
-  // Engines with a copy of each model's weights beside those in use; empty if
-  // all engines are looked at.
+  // Engines with a copy of each model's weights in memory or on disk; empty if
+  // all engines are scanned.
   std::vector<std::vector<std::size_t>> engines_with_copy;
-  // All engines that may be given an order, those with least to do first.
+  // All engines that accept orders, least busy first.
   std::vector<std::size_t> least_busy;
   std::int64_t scanned_engines = 0;
-  // What each model gains by one replica more, and loses by one less; kept,
-  // since most of a plan's time would go into them (860 engines, 290 models).
+  // Gain of one more replica and loss of one less for each model. Cached,
+  // because computing them would dominate the planning time (860 engines, 290
+  // models).
   std::vector<double> gains;
   std::vector<double> losses;
   std::vector<plan_step> steps;
@@ -142,14 +149,14 @@
   return static_cast<double>(model.load_from_store.count());
 }
 
-// The part of a replica's worth that is left after its load.
+// Returns the share of a replica's value that is left after its load time.
 double LoadTimeFactor(const plan_model& model, weight_source source) {
   const double share = 1 - LoadTime(model, source) / kLoadHorizonMs;
   return std::max(share, kMinLoadFactor);
 }
 
-// The part of a model's requests that so many replicas serve on time, and
-// those that are not lost with an engine.
+// Returns the share of a model's requests that `replicas` serve in time, plus a
+// term for requests that are not lost with an engine.
 double ServedShare(double replicas, double target) {
   if (replicas <= 0)
     return 0;
@@ -162,7 +169,7 @@
                       state.weight_copies[model] > 0);
 }
 
-// The part of an engine that is left for a replica more.
+// Returns the share of an engine that is free for one more replica.
 double FreeShare(const plan_engine& engine, const plan_limits& limits) {
   const double used =
       static_cast<double>(engine.running) /
@@ -170,7 +177,7 @@
   return std::max(1 - used, kMinFreeShare);
 }
 
-// Works out anew what a model's replicas are worth.
+// Recomputes the gain and loss of a model's replicas.
 void UpdateGains(plan_state& state, std::size_t model) {
   const std::int64_t planned = state.planned[model];
   state.gains[model] =
@@ -180,7 +187,7 @@
       ValueAt(state, model, ready) - ValueAt(state, model, ready - 1);
 }
 
-// Whether a model's replica on an engine may go at all.
+// Returns whether a model's replica on an engine may be evicted.
 bool IsEvictable(const plan_state& state,
                  const plan_engine& engine,
                  std::size_t model) {
@@ -189,13 +196,13 @@
   return state.ready[model] > 1 || state.weight_copies[model] > 1;
 }
 
-// What must go so that a model fits, and what that takes away.
+// Models to evict so that another fits, and the loss this causes.
 struct eviction {
   std::vector<std::size_t> models;
   double loss = 0;
 };
 
-// Nothing if there cannot be room.
+// Returns nothing if the model cannot fit.
 std::optional<eviction> FindEviction(const plan_state& state,
                                      const plan_engine& engine,
                                      std::size_t model) {
@@ -221,7 +228,7 @@
   return out;
 }
 
-// A place for a model, and what using it adds.
+// An engine for a replica of a model, and the net gain of placing it there.
 struct replica_position {
   std::size_t engine = 0;
   eviction evictions;
@@ -229,7 +236,7 @@
   double gain = 0;
 };
 
-// One that has just come: it holds nothing, and has no copies either.
+// Returns whether an engine has no weights at all, such as a new one.
 bool IsEmpty(const plan_engine& engine) {
   return engine.loaded.empty() && engine.in_memory.empty() &&
          engine.on_disk.empty();
@@ -240,8 +247,8 @@
          (IsEmpty(engine) || state.nonempty_store_loads > 0);
 }
 
-// Takes a place at one engine if it is better than the best so far. False if
-// the engine cannot be given the model now.
+// Evaluates one engine and updates `best` if the net gain is higher. Returns
+// false if the engine cannot load the model now.
 bool ScanEngine(plan_state& state,
                 std::size_t model,
                 std::size_t position,
@@ -266,7 +273,7 @@
   net -= kZoneCost *
          static_cast<double>(
              state.replicas_by_zone[model][state.engine_zones[position]]);
-  // Making room only takes away from it.
+  // Evictions can only reduce the net gain.
   if (best && net <= best->gain)
     return true;
   auto evictions = FindEviction(state, engine, model);
@@ -279,7 +286,7 @@
   return true;
 }
 
-// Looks at some of the engines in a list, in its order.
+// Evaluates the engines of a list in order, up to the maximum numbers.
 void ScanEngines(plan_state& state,
                  std::size_t model,
                  const std::vector<std::size_t>& engines,
@@ -330,7 +337,7 @@
   UpdateGains(state, model);
 }
 
-// Every model of which an engine has the weights in some way, each once.
+// Returns every model whose weights an engine has or is loading, each once.
 std::vector<std::size_t> ModelsAt(const plan_engine& engine) {
   std::vector<std::size_t> out;
   for (const auto* list :
@@ -343,7 +350,7 @@
   return out;
 }
 
-// Numbers the zones of all engines, and counts replicas by zone.
+// Numbers the zones of all engines and counts the replicas in each.
 void CountByZone(plan_state& state) {
   std::map<std::string, std::size_t> numbers;
   for (const plan_engine& engine : state.engines) {
@@ -363,14 +370,14 @@
   }
 }
 
-// Where each model may be brought, those first that have least to do if there
-// are too many to look at.
+// Collects the engines that accept orders. If there are too many to scan, sorts
+// them by load and indexes them by weight copies.
 void IndexEngines(plan_state& state) {
   for (std::size_t i = 0; i < state.engines.size(); ++i) {
     if (state.engines[i].serving && state.engines[i].accepts_orders)
       state.least_busy.push_back(i);
   }
-  // Where all are looked at their order does not matter.
+  // The order does not matter if all are scanned.
   if (state.least_busy.size() <= kMaxScanned)
     return;
   std::ranges::sort(state.least_busy, {}, [&](std::size_t position) {
@@ -413,7 +420,7 @@
     for (const std::size_t model : engine.loading)
       ++state.planned[model];
     for (const std::size_t model : ModelsAt(engine)) {
-      // Copies of models that the configuration no longer names do not count.
+      // Ignores copies of models that the configuration no longer contains.
       if (model < models.size())
         ++state.weight_copies[model];
     }
@@ -429,7 +436,7 @@
   return state;
 }
 
-// A rate that a model is to be prepared for.
+// Returns the rate for which a model is prepared.
 double ExpectedRate(const plan_model& model) {
   return std::max(model.future_rate, model.later_rate);
 }
@@ -447,7 +454,8 @@
                     std::max(max_copies, kMinWeightCopies));
 }
 
-// How much a model lacks copies, in requests a second that each prepares for.
+// Returns the benefit of one more weight copy, in requests per second; 0 if the
+// model has enough.
 double CopyDeficit(const plan_state& state, std::size_t model) {
   const auto target = static_cast<double>(TargetCopies(state, model));
   const auto missing = target - static_cast<double>(state.weight_copies[model]);
@@ -485,7 +493,7 @@
   return best;
 }
 
-// Brings copies of models to engines that have none.
+// Plans loads that bring weight copies to engines.
 void PlanWeightCopies(plan_state& state) {
   std::vector<bool> unplaceable(state.models.size());
   while (state.limits.store_loads > kReservedStoreLoads) {
@@ -506,7 +514,7 @@
       continue;
     ApplyStep(state, *chosen, *largest_deficit);
     ++state.weight_copies[*largest_deficit];
-    // The load itself follows once there is room: its turn is kept.
+    // The load itself follows once memory is free; its store load is reserved.
     if (!chosen->evictions.models.empty())
       --state.limits.store_loads;
   }
--- a/src/decisions/placement.cc
+++ b/src/decisions/placement.cc
@@ -14,11 +14,11 @@
 
 namespace {
 
-// A rise counts at once, a fall with this weight in each interval.
+// Weight of a decrease in each interval; an increase has full weight.
 constexpr double kFallSmoothing = 0.1;
 constexpr double kTrendSmoothing = 0.5;
 
-// Orders of this plan have no id yet; they are pending_orders as well.
+// Orders of this plan have no id yet; they are pending as well.
 bool IsPending(const placement_server& server, const order& each) {
   return each.id.empty() || server.pending_orders.contains(each.id);
 }
@@ -38,7 +38,8 @@
          HasPending(server, order_kind::kLoad, artifact);
 }
 
-// A stalled load keeps its room reserved: making it true costs least.
+// A stalled load keeps its memory reserved, so repeating it there needs the
+// least additional memory.
 bool HasStalledLoad(const placement_server& server,
                     const std::string& artifact) {
   return IsLoading(server.record, artifact) &&
@@ -49,7 +50,7 @@
   return artifact.substr(0, artifact.rfind('@'));
 }
 
-// Servers by their position, in ascending order.
+// Indexes of servers, in ascending order.
 using server_set = std::vector<std::size_t>;
 
 bool Contains(const server_set& set, std::size_t server) {
@@ -62,28 +63,28 @@
     set.insert(at, server);
 }
 
-// What the plan knows of one model. A replica is a server that has, or is
-// getting, the model and all its adapters.
+// Planning state of one model. `replicas` are the servers that have or are
+// loading the model and all its adapters, `ready` those that have them.
 struct model_state {
   const placement_model* model = nullptr;
   server_set replicas;
   server_set ready;
 };
 
-// The working state of one plan: records and indexes change as moves are
-// planned, so that each later decision sees them. Everything is found by
-// index, for the plan is made anew every second for hundreds of servers and
+// Working state of one plan. Records and indexes are updated as moves are
+// planned, so that later decisions take them into account. Look-ups use
+// indexes, because a new plan is made every second for hundreds of servers and
 // models.
 struct placement_state {
   std::vector<placement_server> servers;
   const placement_settings& settings;
   std::vector<model_state> models;
   std::vector<std::int64_t> free_mb;
-  // Requests a second that are asked of each server.
+  // Demand on each server, in requests per second.
   std::vector<double> server_demand;
-  // Every artifact that the table wants, with its model.
+  // Every artifact in the table, with the index of its model.
   std::unordered_map<std::string, std::size_t> table_artifacts;
-  // The same without versions.
+  // The same by artifact name without version.
   std::unordered_map<std::string, std::size_t> table_names;
   placement_plan plan;
   std::int64_t active_moves = 0;
@@ -104,7 +105,7 @@
   return each.model->demand / static_cast<double>(replica_count);
 }
 
-// Servers that hold every artifact of a model, by an index of holders.
+// Returns the servers that hold every artifact of a model.
 server_set HoldersOfAllArtifacts(
     const std::unordered_map<std::string, server_set>& holders,
     const placement_model& model) {
@@ -159,7 +160,8 @@
   return state;
 }
 
-// Memory that the missing parts of a replica need; nothing if they do not fit.
+// Returns whether the missing artifacts of a replica fit into a server's
+// memory.
 bool Fits(const placement_state& state,
           std::size_t index,
           const placement_model& model) {
@@ -184,9 +186,9 @@
          });
 }
 
-// A partial replica is completed first; then the availability zone with the
-// fewest replicas, then the server with the most free memory.
-// Servers in `avoided_zone` are passed over.
+// Returns the server for the next replica. Prefers a server with a partial
+// replica, then the availability zone with the fewest replicas, then the server
+// with the most free memory. Skips servers in `avoided_zone`.
 std::optional<std::size_t> FindServer(const placement_state& state,
                                       const model_state& each,
                                       std::string_view avoided_zone = {}) {
@@ -244,8 +246,9 @@
   ++state.active_moves;
 }
 
-// Whether an artifact that the table no longer names may go: its successor
-// (the same name in another version) is ready somewhere, or there is none.
+// Returns whether an artifact that is no longer in the table may be unloaded:
+// its successor (the same name in another version) is ready on some server, or
+// there is none.
 bool IsUnloadAllowed(const placement_state& state,
                      const std::string& artifact) {
   const auto successor = state.table_names.find(WithoutVersion(artifact));
@@ -272,8 +275,8 @@
   }
 }
 
-// Requests a second that a model's replicas can serve when each server divides
-// its capacity among what it holds by demand.
+// Returns the requests per second that a model's replicas can serve if each
+// server divides its capacity among its models in proportion to demand.
 double ServableDemand(const placement_state& state, const model_state& each) {
   const double model_demand = DemandPerReplica(state, each);
   double served = 0;
@@ -286,7 +289,8 @@
   return served;
 }
 
-// A replica beyond those required that demand does not need gives way.
+// Unloads a replica on the server that neither the required number nor demand
+// calls for. Returns false if there is none.
 bool UnloadSurplusReplica(placement_state& state,
                           const model_state& underserved,
                           std::size_t index) {
@@ -323,7 +327,7 @@
   std::ranges::stable_sort(order, std::ranges::greater(), [](const auto* each) {
     return TotalMemory(*each->model);
   });
-  // First one replica of each, then the rest.
+  // One replica of each model first, then the rest.
   for (const bool first : {true, false}) {
     for (model_state* each : order) {
       const std::int64_t required = first ? 1 : each->model->replicas;
@@ -343,8 +347,8 @@
   state.plan.unplaced_models.erase(repeated.begin(), repeated.end());
 }
 
-// The availability zone that holds all usable replicas of a model; empty if
-// they are in several, or there are none.
+// Returns the availability zone that holds all usable replicas of a model;
+// empty if they are in several zones or there are none.
 std::string CommonZone(const placement_state& state, const model_state& each) {
   std::string zone;
   for (const std::size_t replica : each.replicas) {
@@ -358,8 +362,9 @@
   return zone;
 }
 
-// Replicas that came together in one availability zone while the others could
-// not be used: one more goes elsewhere, so that no zone takes the model along.
+// Replicas can end up in the same availability zone while other zones are
+// unavailable. Adds one in another zone, so that the loss of one zone does not
+// make the model unavailable.
 void PlanZoneSpread(placement_state& state) {
   for (model_state& each : state.models) {
     if (each.model->replicas < 2 || !state.CanStartMove())
@@ -391,8 +396,8 @@
       PlanLoads(state, *target, *each);
       continue;
     }
-    // No room: a replica that is not needed makes some; the load follows when
-    // its unload is settled.
+    // Nothing fits: frees memory by unloading a surplus replica. The load
+    // follows once the unload is resolved.
     for (std::size_t i = 0; i < state.servers.size(); ++i) {
       const bool candidate =
           state.servers[i].usable && !Contains(each->replicas, i);
@@ -430,7 +435,7 @@
 double Predict(const demand_forecast& forecast,
                std::chrono::duration<double> ahead) {
   const double rise = std::max(0.0, forecast.trend) * ahead.count();
-  // A rise is not followed beyond twice the present level.
+  // The prediction is limited to twice the present level.
   return forecast.level + std::min(rise, forecast.level);
 }
 
--- a/src/decisions/placement.h
+++ b/src/decisions/placement.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which artifacts should be on which backend servers: plans the next moves.
+// Plans which artifacts are loaded on and unloaded from which backend servers.
 #ifndef VALELEDGE_DECISIONS_PLACEMENT_H_
 #define VALELEDGE_DECISIONS_PLACEMENT_H_
 
@@ -13,7 +13,7 @@
 
 namespace valeledge::decisions {
 
-// A model with its adapters, as placement sees it.
+// A model and its adapters.
 struct placement_model {
   std::string model;
   // The model's artifact first, then its adapters' artifacts.
@@ -21,31 +21,32 @@
   std::vector<std::int64_t> memory_mb;
   std::int64_t replicas = 1;
   double move_price = 1;
-  // Requests a second that are expected.
+  // Expected requests per second.
   double demand = 0;
 };
 
-// A backend server, as placement sees it.
+// A backend server.
 struct placement_server {
   std::string name;
   std::string zone;
-  // Requests a second that it can serve when nothing else runs there.
+  // Requests per second that it can serve while nothing else runs there.
   double capacity = 1;
-  // False: nothing new goes there and its replicas do not count.
+  // If false, nothing is loaded on the server and its replicas do not count.
   bool usable = true;
   server_reservation record;
-  // Unsettled orders whose answer may still come. The others are stalled:
-  // their memory stays reserved, but nothing is expected of them.
+  // Unresolved orders whose response may still arrive. The others are stalled:
+  // their memory stays reserved, but they are not expected to complete.
   std::set<std::string> pending_orders;
 };
 
 struct placement_settings {
-  // Gains are counted over this time.
+  // Time over which gains are summed.
   std::chrono::seconds horizon{60};
-  // Moves that may be under way at once in the whole deployment.
+  // Maximum number of concurrent moves in the whole deployment.
   std::int64_t max_concurrent_moves = 4;
-  // A replica is wanted for each so much of its server's capacity that is
-  // demanded, and given up only below the lower mark (hysteresis).
+  // Shares of a server's capacity: demand above the high mark requires another
+  // replica, and a replica is unloaded only if demand is below the low mark
+  // (hysteresis).
   double high_mark = 0.7;
   double low_mark = 0.3;
 };
@@ -58,34 +59,35 @@
   std::int64_t memory_mb = 0;
 };
 
-// What placement wants done next, and what it could not do.
+// The next moves, and what could not be placed.
 struct placement_plan {
   std::vector<placement_move> moves;
-  // Models without room for a replica that must be there.
+  // Models of which a required replica fits on no server.
   std::vector<std::string> unplaced_models;
 };
 
-// Plans the next moves. First every model's required replicas, spread over
-// availability zones (one more where all came together in one); then versions
-// no longer wanted go, once the new one is
-// there; then replicas for demand, where the gain over the horizon is worth
-// the price. Never unloads the last steady replica of a model.
+// Plans the next moves, in this order: the required replicas of every model,
+// spread over availability zones, with one more if all are in the same zone;
+// unloads of versions that are no longer in the table, once the new version is
+// ready; replicas for demand, if the gain over the horizon exceeds the price of
+// a move. Never unloads the last steady replica of a model.
 placement_plan PlanPlacement(const std::vector<placement_model>& models,
                              const std::vector<placement_server>& servers,
                              const placement_settings& settings);
 
-// An estimate of demand that follows a rise at once and a fall slowly.
+// An estimate of demand that follows increases immediately and decreases
+// slowly.
 struct demand_forecast {
   double level = 0;
   double trend = 0;
 };
 
-// Takes in the demand seen over the last `interval`.
+// Updates the estimate with the demand observed over the last `interval`.
 void Update(demand_forecast& forecast,
             double observed,
             std::chrono::duration<double> interval);
 
-// Requests a second expected `ahead` from now.
+// Returns the requests per second expected `ahead` from now.
 double Predict(const demand_forecast& forecast,
                std::chrono::duration<double> ahead);
 
--- a/src/decisions/replica_wait.cc
+++ b/src/decisions/replica_wait.cc
@@ -7,12 +7,13 @@
 
 using std::chrono::milliseconds;
 
-// From a load's end to the first event: the news travels, and the prompt is
-// read beside those of others that waited.
+// Time from the end of a load to the first event: the state update reaches the
+// hosts, and the prompt is read together with those of other waiting requests.
 constexpr milliseconds kFirstEventDelay{300};
 
-// Demand is told every 250 ms, planned for every 100 ms, and what gives way is
-// withdrawn first: a load that is not ordered by then is not wanted enough.
+// Demand is reported every 250 ms, a plan is made every 100 ms, and an evicted
+// replica is withdrawn before the load starts. A load that has not been ordered
+// within this time has too little demand to be planned.
 constexpr milliseconds kMaxOrderDelay{900};
 
 }  // namespace
--- a/src/decisions/replica_wait.h
+++ b/src/decisions/replica_wait.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What becomes of a request whose model no engine has now: whether a replica
-// will be there in time, and otherwise when to come back. Answers the load that
-// a model puts on a site where more models are asked for than fit.
+// Decides what happens to a request whose model is loaded on no engine: whether
+// it waits for a replica, and otherwise after which delay the caller should
+// retry. Handles sites where more models are in demand than fit in memory.
 #ifndef VALELEDGE_DECISIONS_REPLICA_WAIT_H_
 #define VALELEDGE_DECISIONS_REPLICA_WAIT_H_
 
@@ -10,23 +10,26 @@
 
 namespace valeledge::decisions {
 
-// What is known of a model without a replica that takes requests.
+// A model without a replica that accepts requests.
 struct unavailable_model {
-  // How long the request has waited, and when its answer should have begun.
+  // Time since the request arrived, and the time limit from its arrival to the
+  // start of the response.
   std::chrono::milliseconds waited{0};
   std::chrono::milliseconds objective{0};
-  // A replica is on its way and there in so long.
+  // Time until a replica that is being loaded is ready; unset if there is none.
   std::optional<std::chrono::milliseconds> ready_in;
-  // The fastest load from a copy that an engine has, if any has one.
+  // Time of the fastest load from a weight copy on an engine; unset if no
+  // engine has one.
   std::optional<std::chrono::milliseconds> local_load_time;
 };
 
-// Whether to wait for a replica: only while one that is on its way, or that
-// may still be ordered, answers within the objective.
+// Returns whether the request should wait: only while a replica that is being
+// loaded, or one that may still be ordered, can respond within the objective.
 bool ShouldWaitForReplica(const unavailable_model& model);
 
-// When a replica is probably there, for a caller that is refused; nothing if
-// there is no sign of one.
+// Returns the expected time until a replica is ready, from which the
+// retry-after delay of a refused caller is derived; nothing if no replica is
+// expected.
 std::optional<std::chrono::milliseconds> TimeToReplica(
     const unavailable_model& model);
 
--- a/src/decisions/reservation.cc
+++ b/src/decisions/reservation.cc
@@ -12,15 +12,16 @@
 
 namespace json = boost::json;
 
-// Fenced off in this run, and seen to belong to it: an order that its sender
-// may still send could meet a later run before that is known here.
+// Returns whether the order was fenced off in the present run and cannot reach
+// a later one: an order that its sender may still send could reach a later run
+// before that run is known here.
 bool IsFencedOff(const server_reservation& record, const order& each) {
   return !each.fenced_off_in.empty() &&
          each.fenced_off_in == record.incarnation &&
          each.resolves_after == record.incarnation;
 }
 
-// How often the order may still take memory.
+// Returns how often the order may still allocate memory.
 std::int64_t Deliveries(const server_reservation& record, const order& each) {
   if (each.kind == order_kind::kUnload || IsFencedOff(record, each))
     return 0;
@@ -53,12 +54,12 @@
   }
 }
 
-// A fencing engine that took an order refuses all with lower numbers from
-// then on; what they did before only a report can tell.
+// After accepting an order, a fencing engine refuses all orders with lower
+// numbers. Only a report shows which of them were executed before.
 void DecideEarlierOrders(server_reservation& record,
                          std::int64_t fence,
                          std::int64_t version) {
-  // Without counts no report can be told from one that came before.
+  // Without change counts a report cannot be distinguished from an older one.
   if (!record.fencing || version == 0)
     return;
   for (order& each : record.unresolved) {
@@ -69,9 +70,9 @@
   }
 }
 
-// Settles, for this run, the orders that a report of this count decides: not
-// those whose artifact has a newer answer, for then the report's copies are
-// not taken.
+// Resolves, for this run, the orders that a report with this change count
+// decides. Excludes orders whose artifact has a later response, because the
+// report's copies of that artifact are not applied.
 bool ResolveDecided(server_reservation& record, std::int64_t version) {
   bool changed = false;
   for (order& each : record.unresolved) {
@@ -86,23 +87,23 @@
     each.fenced_off_in = record.incarnation;
     changed = true;
   }
-  // An answered order belongs to the run that answered.
+  // An order with a response belongs to the run that sent the response.
   std::erase_if(record.unresolved, [](const order& each) {
     return each.responded && !each.fenced_off_in.empty();
   });
   return changed;
 }
 
-// Whether nothing was loaded after an unload that has been carried out.
-// Answers come in any order: a load may have followed it.
+// Returns whether no load followed an executed unload. Responses arrive in any
+// order.
 bool UnloadTakesEffect(const server_reservation& record,
                        const held_artifact& held,
                        const order& unload,
                        std::int64_t version) {
   if (version != 0)
     return version > held.version;
-  // The engine does not count: every load must have been answered before the
-  // unload was recorded.
+  // The engine does not count its changes: the responses to all loads must have
+  // arrived before the unload was recorded.
   return held.loaded_at < unload.fence &&
          PossibleLoads(record, unload.artifact) == 0;
 }
@@ -118,7 +119,7 @@
     kept.resolves_after = record.incarnation;
     record.unresolved.push_back(std::move(kept));
   }
-  // A report that came first shows the change already.
+  // An earlier report includes the change already.
   if (version != 0 && version <= record.version)
     return;
   held_artifact& held = record.held[done.artifact];
@@ -196,8 +197,8 @@
   return changed;
 }
 
-// Takes over what a report says is loaded, but for artifacts with an answer
-// newer than `version`.
+// Applies the loaded copies of a report, except for artifacts with a response
+// later than `version`.
 bool ApplyLoaded(server_reservation& record,
                  const engine_report& report,
                  std::int64_t version) {
@@ -424,7 +425,7 @@
       object ? base::ArrayField(*object, "unsettled") : nullptr;
   if (held == nullptr || unresolved == nullptr) {
     return base::NotRun(base::result_code::kTableInvalid,
-                        "a reservation that cannot be read");
+                        "cannot read the reservation record");
   }
   server_reservation record;
   record.server = base::StringField(*object, "server");
--- a/src/decisions/routing.cc
+++ b/src/decisions/routing.cc
@@ -78,7 +78,7 @@
 std::optional<std::size_t> ChooseServer(std::span<const server_view> servers,
                                         const route_request& original,
                                         std::mt19937_64& random) {
-  // Where every ready server has failed the request, they are tried again.
+  // If the request has failed on every ready server, all are candidates again.
   route_request request = original;
   if (!original.avoid.empty() && !AnyReadyNotAvoided(servers, original))
     request.avoid = {};
@@ -144,7 +144,7 @@
       CellLoad(cells[second]) < CellLoad(cells[first]) ? second : first;
   if (cells[better].zone == local_zone)
     return better;
-  // Of the home cells, the least loaded that still has room.
+  // The least loaded local cell below the maximum load.
   std::optional<std::size_t> local;
   for (std::size_t i = 0; i < cells.size(); ++i) {
     const bool usable =
--- a/src/decisions/routing.h
+++ b/src/decisions/routing.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which cell, and in it which backend server, a request goes to.
+// Selects the cell, and the backend server in it, for a request.
 #ifndef VALELEDGE_DECISIONS_ROUTING_H_
 #define VALELEDGE_DECISIONS_ROUTING_H_
 
@@ -15,13 +15,13 @@
 
 namespace valeledge::decisions {
 
-// Stands for something that can be served: "model/NAME@VERSION" and so on,
-// hashed so that look-ups compare numbers.
+// Identifies a unit that can be served, such as "model/NAME@VERSION", by its
+// hash: look-ups compare numbers instead of strings.
 using unit_hash = std::int32_t;
 
 unit_hash HashUnit(std::string_view unit);
 
-// Prefixes that a backend server probably holds in its cache.
+// Prompt prefixes that a backend server probably holds in its cache.
 struct prefix_history {
   struct entry {
     std::int64_t hash = 0;
@@ -30,10 +30,11 @@
   std::vector<entry> entries;
 };
 
-// Prefixes remembered for one backend server.
+// Capacity of the prefix history of one backend server.
 inline constexpr std::size_t kMaxPrefixes = 64;
 
-// Notes that a request with this prefix was sent there.
+// Records that a request with this prefix was sent to the server. Replaces the
+// least recently used prefix if the history is full.
 void RecordPrefix(prefix_history& history,
                   std::int64_t hash,
                   base::time_point now);
@@ -43,45 +44,46 @@
 struct server_view {
   std::string name;
   std::string address;
-  // What it can serve now.
+  // Units that it can serve now.
   std::vector<unit_hash> ready;
   std::int64_t slots = 1;
-  // Attempts granted here and not ended.
+  // Attempts that this scheduler granted and that have not ended.
   std::int64_t in_flight = 0;
-  // Attempts it reports beyond those granted here.
+  // Attempts that the server reports beyond those granted by this scheduler.
   std::int64_t external_in_flight = 0;
   bool down = false;
-  // It says so itself, or its host is leaving by the platform's list.
+  // The server reports that it is leaving.
   bool leaving = false;
+  // The platform's list says that its host is leaving.
   bool host_leaving = false;
   prefix_history prefixes;
 };
 
-// Whether new work may go there.
+// Returns whether the server may be given new work.
 bool AcceptsWork(const server_view& server);
 
-// What routing looks at in a request.
+// The properties of a request that matter for routing.
 struct route_request {
   unit_hash unit = 0;
   std::int64_t prefix_hash = 0;
-  // Servers that failed this request already: used only if there are no
-  // others.
+  // Servers on which this request has failed: used only if there are no others.
   std::span<const std::string> avoid;
 };
 
-// How far above the cell's average load a server may be and still get a
-// request for the prefix it holds.
+// Maximum load of a server relative to the cell's average at which it is still
+// preferred because it holds the request's prefix.
 inline constexpr double kMaxPrefixLoadRatio = 1.25;
 
-// Index of the server to use among those that are ready for the unit and have
-// a free slot; nothing if there is none. A server that holds the prefix is
-// taken unless its load is beyond the bound; otherwise the least loaded, and
-// among equals any.
+// Returns the index of the server to use among those that are ready for the
+// unit and have a free slot; nothing if there is none. Prefers a server that
+// holds the prefix unless its load exceeds kMaxPrefixLoadRatio, then the least
+// loaded server; ties are broken at random.
 std::optional<std::size_t> ChooseServer(std::span<const server_view> servers,
                                         const route_request& request,
                                         std::mt19937_64& random);
 
-// Whether any server could serve the unit at all, busy or not.
+// Returns whether any server is ready for the unit, with or without a free
+// slot.
 bool AnyReady(std::span<const server_view> servers, unit_hash unit);
 
 // A cell as a gateway sees it.
@@ -93,15 +95,16 @@
   std::int64_t slots = 1;
 };
 
-// Load of a cell: what is queued or in flight there per slot.
+// Returns the number of queued and running requests per slot.
 double CellLoad(const cell_view& cell);
 
-// A cell in one's own availability zone is kept unless it is busier than this
-// and the other is less busy.
+// Cells of the local availability zone are preferred up to this load.
 inline constexpr double kMaxLocalZoneLoad = 0.8;
 
-// Index of the cell to ask: the better of two taken at random, with one's own
-// availability zone first while it has room. Nothing if `cells` is empty.
+// Returns the index of the cell to send a request to: the less loaded of two
+// chosen at random. If that is not in the local availability zone, the least
+// loaded local cell below kMaxLocalZoneLoad takes precedence. Nothing if
+// `cells` is empty.
 std::optional<std::size_t> ChooseCell(std::span<const cell_view> cells,
                                       std::string_view local_zone,
                                       std::mt19937_64& random);
--- a/src/decisions/server_cost.cc
+++ b/src/decisions/server_cost.cc
@@ -9,26 +9,26 @@
 
 using milliseconds = std::chrono::duration<double, std::milli>;
 
-// Going to another availability zone costs about one round trip.
+// One round trip to another availability zone.
 constexpr milliseconds kOtherZoneRoundTrip{3};
 
-// Each running request lengthens the steps of an engine's batch a little.
+// Each running request lengthens the steps of an engine's batch.
 constexpr milliseconds kDelayPerRunning{1};
 
-// From this part of an engine's token memory on, requests may be preempted.
+// Above this share of an engine's token memory requests may be preempted.
 constexpr double kMaxTokenMemoryUse = 0.85;
 
-// An answer takes about so long: where all slots are taken, one of them is free
-// after its share of this.
+// If all slots are in use, one becomes free after this time divided by the
+// number of slots.
 constexpr milliseconds kTypicalResponseTime{2000};
 
-// Weight of the newest attempt in the smoothed shares.
+// Weights of the latest attempt in the smoothed values.
 constexpr double kFailureSmoothing = 0.2;
 constexpr double kSlowdownSmoothing = 0.1;
 constexpr double kMaxSlowdown = 20;
 
-// A server is suspended above this share of failures: plain services fail a
-// seventh of some calls in good health.
+// A server is suspended above this failure rate. Healthy services that are not
+// engines can fail a seventh of some calls.
 constexpr double kMaxFailureRate = 0.5;
 
 constexpr std::chrono::milliseconds kFirstSuspension{500};
--- a/src/decisions/server_cost.h
+++ b/src/decisions/server_cost.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What it costs a request to go to one backend server or another.
+// Estimates the cost of sending a request to a backend server, and tracks the
+// health of servers from the outcomes of attempts.
 #ifndef VALELEDGE_DECISIONS_SERVER_COST_H_
 #define VALELEDGE_DECISIONS_SERVER_COST_H_
 
@@ -10,46 +11,47 @@
 
 namespace valeledge::decisions {
 
-// A backend server as a request sees it.
+// A backend server as a candidate for a request.
 struct server_candidate {
   std::int64_t slots = 1;
-  // Requests of all hosts that run or wait there, as far as is known.
+  // Known requests of all hosts that run or wait on the server.
   std::int64_t running = 0;
-  // Prompt tokens of those that have not had their first event.
+  // Prompt tokens of those whose first event has not arrived.
   std::int64_t unread_tokens = 0;
-  // Tokens of memory in use, and all there are (0: not an engine).
+  // Tokens in use in the token memory, and its capacity (0: not an engine).
   std::int64_t held_tokens = 0;
   std::int64_t token_memory = 0;
-  // Prompt tokens of this request that the server has kept.
+  // Prompt tokens of this request that the server has cached.
   std::int64_t cached_tokens = 0;
   bool same_zone = true;
-  // How much longer than others it takes; 1 is usual.
+  // Response time relative to the expected one; 1 is normal.
   double slowdown = 1;
 };
 
-// What a request brings along.
+// The resources that a request needs.
 struct request_weight {
   std::int64_t prompt_tokens = 0;
   std::int64_t held_tokens = 0;
-  // How long an engine takes to read one prompt token of this model, or a
-  // plain server to do the whole work.
+  // Time in which an engine reads one prompt token of this model; 0 for other
+  // servers.
   std::chrono::duration<double, std::milli> time_per_token{0};
+  // Time in which a server that is not an engine processes the request.
   std::chrono::duration<double, std::milli> service_time{0};
 };
 
-// Expected time until the request's first byte comes back; more where the
-// server is full or its memory for tokens would not hold the request.
+// Returns the expected time until the first byte of the response, increased if
+// the server is full or the request does not fit into its token memory.
 std::chrono::duration<double, std::milli> ExpectedWait(
     const server_candidate& candidate,
     const request_weight& weight);
 
-// How far a backend server may be relied on, from how its answers ended.
+// Health of a backend server, derived from the outcomes of attempts.
 struct server_health {
-  // Smoothed share of attempts that failed.
+  // Smoothed share of failed attempts.
   double failure_rate = 0;
-  // Smoothed time of its answers against what was expected.
+  // Smoothed ratio of actual to expected response time.
   double slowdown = 1;
-  // Requests stay away until here; then one is let through as a trial.
+  // No requests are sent until this time; then one is sent as a probe.
   base::time_point suspended_until;
   std::chrono::milliseconds last_suspension{0};
   bool probing = false;
@@ -57,16 +59,17 @@
 
 bool AllowsRequests(const server_health& health, base::time_point now);
 
-// An answer came: it took `took` where `expected` was expected.
+// Records a response and its actual and expected response time.
 void RecordResponse(server_health& health,
                     std::chrono::duration<double, std::milli> response_time,
                     std::chrono::duration<double, std::milli> expected);
 
-// The server said that it is full: no fault, but others go first for a while.
+// Records that the server reported to be full. That is not a failure, but other
+// servers are preferred for a short time.
 void RecordServerFull(server_health& health, base::time_point now);
 
-// An attempt failed: an error, an answer that broke off, none at all.
-// `certain` suspends at once, without waiting for a second failure.
+// Records a failed attempt: an error, an incomplete response, or none.
+// `suspend_now` suspends the server on the first failure.
 void RecordFailure(server_health& health,
                    bool suspend_now,
                    base::time_point now);
--- a/tests/auto/decisions/plan_figures.cc
+++ b/tests/auto/decisions/plan_figures.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// How long one plan takes with 290 models at several numbers of engines, with
-// demand for a twelfth of the models and for all of them. Run by hand.
+// Prints the time of one plan with 290 models for several numbers of engines,
+// with demand for a twelfth of the models and for all of them. Not a test.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -32,7 +32,7 @@
     model.load_from_store = std::chrono::milliseconds(6000);
     if (i >= models_in_demand)
       continue;
-    // As much for each engine at any number of them.
+    // The demand per engine is the same for any number of engines.
     model.arrival_rate = static_cast<double>(any(1, 120)) *
                          static_cast<double>(engine_count) / kReferenceEngines;
     model.work = model.arrival_rate * 20;
--- a/tests/auto/decisions/routing_figures.cc
+++ b/tests/auto/decisions/routing_figures.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Prints how long a routing decision takes among 860 backend servers that hold
-// two of 290 models each: one choice over all of them, and the choice of a
-// cell and of a server in it that the system makes. Not a test.
+// Prints the time of a routing decision among 860 backend servers with two of
+// 290 models each: for one choice among all of them, and for the choice of a
+// cell and of a server in it, as in production. Not a test.
 #include <chrono>
 #include <cstdio>
 #include <random>
--- a/tests/auto/decisions/test_adapter_plan.cc
+++ b/tests/auto/decisions/test_adapter_plan.cc
@@ -30,7 +30,7 @@
     BOOST_TEST(count <= 2);
 }
 
-// Loads ahead follow the demand, not the engines.
+// The number of loads ahead depends on demand, not on the number of engines.
 BOOST_AUTO_TEST_CASE(loads_ahead_do_not_grow_with_engines) {
   const std::vector<adapter_model> models = {{14, 20}, {14, 2}};
   std::map<std::size_t, std::size_t> steps;
@@ -43,7 +43,7 @@
   BOOST_TEST(steps[100] >= 2 * (14u + 14u));
 }
 
-// A request may name an adapter that was not foreseen.
+// A request may name an adapter that was not loaded ahead.
 BOOST_AUTO_TEST_CASE(some_slots_stay_free) {
   const std::vector<adapter_model> models = {{30, 40}};
   const std::vector engines = {Engine(8, {0})};
@@ -60,7 +60,8 @@
   }
 }
 
-// An engine that is loading a model takes no adapters, and what it has counts.
+// An engine that is loading a model accepts no adapters, but the adapters that
+// it has loaded count.
 BOOST_AUTO_TEST_CASE(busy_engines_get_no_adapters) {
   const std::vector<adapter_model> models = {{2, 20}};
   std::vector engines = {Engine(8, {0}), Engine(8, {0})};
--- a/tests/auto/decisions/test_demand_shift.cc
+++ b/tests/auto/decisions/test_demand_shift.cc
@@ -13,8 +13,8 @@
 constexpr std::size_t kModels = 40;
 const std::vector<double> kBusy = {52, 20, 15, 12, 10, 9, 8, 8, 7, 7};
 
-// Demand that has moved on by a part of `step` places, `at` places down the
-// list.
+// Demand that starts at position `at` of the list, of which `part` has shifted
+// by `step` positions.
 std::vector<double> Demand(std::size_t at, std::size_t step, double part) {
   std::vector<double> out(kModels, 0.2);
   for (std::size_t i = 0; i < kBusy.size(); ++i) {
@@ -24,7 +24,7 @@
   return out;
 }
 
-// Plays a move of so many places over six seconds, with arrivals that vary.
+// Simulates a shift by `step` positions over 6 s, with random arrivals.
 void PlayShift(demand_shift& shift,
                valeledge::base::time_point& now,
                std::size_t at,
--- a/tests/auto/decisions/test_engine_admission.cc
+++ b/tests/auto/decisions/test_engine_admission.cc
@@ -29,7 +29,7 @@
   BOOST_TEST((DecideAdmission(Engine(40ms, 0ms)) == admission_decision::kSend));
 }
 
-// It is refused as soon as that is known, and not after a part of its time.
+// A request is refused as soon as it is known to be late, not after waiting.
 BOOST_AUTO_TEST_CASE(late_requests_are_refused_at_once) {
   BOOST_TEST(
       (DecideAdmission(Engine(500ms, 450ms)) == admission_decision::kRefuse));
@@ -44,7 +44,8 @@
   BOOST_TEST((DecideAdmission(engine) == admission_decision::kRefuse));
 }
 
-// A second refusal is the worst that a caller can get.
+// A second refusal is the worst outcome for a caller, so a retried request
+// waits.
 BOOST_AUTO_TEST_CASE(a_retried_request_is_not_refused_for_being_late) {
   engine_candidate engine = Engine(500ms, 450ms);
   engine.refusable = false;
@@ -53,8 +54,8 @@
   BOOST_TEST((DecideAdmission(engine) == admission_decision::kSend));
 }
 
-// A slot of 48 is free again after a 48th of an answer, not after a whole one:
-// a full engine answers within an objective of 400 ms.
+// One of 48 slots becomes free after a 48th of a response time, not after a
+// whole one: a full engine responds within an objective of 400 ms.
 BOOST_AUTO_TEST_CASE(a_full_engine_is_no_reason_to_refuse) {
   server_candidate candidate;
   candidate.slots = 48;
@@ -67,9 +68,10 @@
   BOOST_TEST(ExpectedWait(candidate, weight).count() > 1000);
 }
 
-// A burst of 1.7 times what one engine reads, for two seconds: whoever is
-// admitted is on time, whoever is not hears so at once, and most of what can be
-// read is served. Refusing nobody would make all but the first late.
+// A burst of 1.7 times the read capacity of one engine for 2 s: admitted
+// requests are on time, refused ones are refused within the objective, and most
+// of the capacity is used. Without refusals all but the first requests would be
+// late.
 BOOST_AUTO_TEST_CASE(a_burst_is_served_up_to_capacity) {
   constexpr auto kReadTime = 20ms;
   constexpr auto kArrivalInterval = 12ms;
--- a/tests/auto/decisions/test_engine_discovery.cc
+++ b/tests/auto/decisions/test_engine_discovery.cc
@@ -13,8 +13,9 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-// Of engines that start together with the host and write their first entries
-// anywhere within a heartbeat, those known when all are taken to be.
+// Returns how many engines are known when discovery completes, if they start
+// together with the host and write their first entries at random times within a
+// heartbeat.
 std::size_t KnownWhenComplete(std::size_t engines,
                               milliseconds heartbeat,
                               std::uint64_t seed) {
--- a/tests/auto/decisions/test_model_plan.cc
+++ b/tests/auto/decisions/test_model_plan.cc
@@ -69,27 +69,28 @@
   BOOST_TEST(PlanModels(models, engines, Limits(0)).empty());
 }
 
-// An engine that loads from the weight store takes nothing else for seconds.
+// An engine that loads from the weight store accepts no other order for
+// seconds.
 BOOST_AUTO_TEST_CASE(a_quarter_of_the_engines_load_from_the_store_at_one_time) {
   const std::vector models = {Model(60, 2000, 10), Model(60, 2000, 10)};
   std::vector engines(8, Engine(60, {1}));
   BOOST_TEST(PlanModels(models, engines, Limits(8)).size() == 2u);
   engines[0].loads_from_store = true;
   BOOST_TEST(PlanModels(models, engines, Limits(8)).size() == 1u);
-  // Disks are not the store.
+  // Loads from disk are not limited.
   for (plan_engine& each : engines)
     each.on_disk = {0};
   BOOST_TEST(PlanModels(models, engines, Limits(8)).size() == 8u);
 }
 
-// While an engine without any weights loads, nobody loses anything. One that
-// was started again has copies, and loads faster from them.
+// An engine without any weights serves nothing else while it loads. A restarted
+// engine has weight copies and loads faster from them.
 BOOST_AUTO_TEST_CASE(empty_engines_all_load_from_the_store) {
   const std::vector models = {Model(60, 2000, 10), Model(60, 2000, 10)};
   std::vector engines(8, Engine(60, {}));
   BOOST_TEST(PlanModels(models, engines, Limits(8)).size() == 8u);
   BOOST_TEST(PlanModels(models, engines, Limits(3)).size() == 3u);
-  // Beside them a quarter of all, of those that hold something.
+  // In addition, a quarter of all engines among those that have weights.
   for (std::size_t i = 0; i < 4; ++i)
     engines[i].loaded = {1};
   engines[0].loads_from_store = true;
@@ -99,7 +100,7 @@
   BOOST_TEST(PlanModels(models, engines, Limits(8)).size() == 1u);
 }
 
-// A replica on an engine whose slots are taken adds little.
+// A replica on an engine without free slots adds little value.
 BOOST_AUTO_TEST_CASE(a_replica_goes_where_slots_are_free) {
   const std::vector models = {Model(60, 1000, 40)};
   std::vector engines = {Engine(0, {0}), Engine(60, {}), Engine(60, {})};
@@ -111,8 +112,8 @@
   BOOST_TEST(steps.front().engine == 2u);
 }
 
-// Before anything is asked for, what the next moves of demand reach is brought
-// to disks, and what only one engine has.
+// Before there is any demand, weight copies are made of models that the next
+// shifts of demand reach, and of models that only one engine has.
 BOOST_AUTO_TEST_CASE(copies_are_made_ahead_if_the_loss_is_small) {
   std::vector models = {Model(60, 250, 10), Model(60, 0, 0), Model(60, 0, 0)};
   models[1].later_rate = 10;
@@ -130,7 +131,7 @@
   BOOST_TEST(!steps.front().load);
   BOOST_TEST(steps.front().model == 0u);
   BOOST_TEST(steps.front().successor == 1u);
-  // Some loads are left for the first requests.
+  // Some loads are reserved for the first requests.
   idle_limits.store_loads = 3;
   BOOST_TEST(PlanModels(models, engines, idle_limits).empty());
   BOOST_TEST(PlanModels(models, engines, Limits(4)).empty());
@@ -140,7 +141,7 @@
   std::vector models = {Model(60, 500, 20), Model(60, 0, 0)};
   models[1].future_work = 400;
   models[1].future_rate = 16;
-  // Two replicas of the first are needed now; the third makes room.
+  // Two replicas of the first model are needed now; the third is evicted.
   const std::vector engines = {Engine(0, {0}), Engine(0, {0}), Engine(0, {0}),
                                Engine(0, {1})};
   const auto steps = PlanModels(models, engines, Limits(5));
@@ -149,8 +150,8 @@
   BOOST_TEST(steps.front().model == 0u);
 }
 
-// A model that nobody asks for makes room for one that is asked for, and is
-// served again from its copy.
+// A model without demand is evicted for a model with demand if it can be loaded
+// again from a weight copy.
 BOOST_AUTO_TEST_CASE(an_idle_model_is_evicted_if_another_engine_has_a_copy) {
   const std::vector models = {Model(60, 900, 30), Model(60, 0, 0)};
   std::vector engines = {Engine(0, {0}), Engine(0, {1}), Engine(0, {})};
@@ -161,7 +162,7 @@
   BOOST_REQUIRE(steps.size() == 1u);
   BOOST_TEST(steps.front().engine == 1u);
   BOOST_TEST(!steps.front().load);
-  // The next plan, with the room that this has made.
+  // The next plan uses the freed memory.
   engines[1].loaded.clear();
   engines[1].free_mb = 60;
   const auto next = PlanModels(models, engines, Limits(0));
@@ -170,8 +171,8 @@
   BOOST_TEST(next.front().model == 0u);
 }
 
-// A rise to ten times: what each replica more would serve goes before what the
-// last replica of a seldom used model serves, if its callers can wait.
+// After a tenfold rise of demand, one more replica has priority over the last
+// replica of a rarely used model whose requests can wait for a load.
 BOOST_AUTO_TEST_CASE(a_rise_evicts_deferrable_models) {
   std::vector models = {Model(60, 2500, 100), Model(60, 25, 0.5)};
   std::vector engines = {Engine(0, {0}), Engine(0, {1}), Engine(0, {})};
@@ -179,13 +180,13 @@
   engines[2].on_disk = {1};
   models[1].deferrable = true;
   BOOST_TEST(PlanModels(models, engines, Limits(0)).size() == 1u);
-  // What came just now stays.
+  // A recently loaded model is not evicted.
   engines[1].recently_loaded = {1};
   BOOST_TEST(PlanModels(models, engines, Limits(0)).empty());
 }
 
-// Of two models that are asked for as often, the one that none of whose
-// callers can be served now comes first.
+// Of two models with the same demand, the one without a replica therefore comes
+// first.
 BOOST_AUTO_TEST_CASE(each_replica_adds_less_value) {
   const plan_model busy = Model(60, 750, 30);
   double last = 0;
@@ -201,12 +202,12 @@
   deferrable.deferrable = true;
   BOOST_TEST(ReplicaValue(busy, Limits(0), 0, true) == 0);
   BOOST_TEST(ReplicaValue(deferrable, Limits(0), 0, true) > 0);
-  // Without a copy there is nothing to wait for.
+  // Without a weight copy requests cannot wait for a load.
   BOOST_TEST(ReplicaValue(deferrable, Limits(0), 0, false) == 0);
 }
 
-// Whatever the demand: a model loses its last replica only if another engine
-// has a copy of it, no engine is given more than it holds, and none gets two
+// For any demand: a model loses its last replica only if another engine has a
+// weight copy, loads fit into the engine's memory, and no engine gets two
 // orders.
 BOOST_AUTO_TEST_CASE(plans_never_break_limits) {
   std::mt19937_64 random{7};
@@ -266,8 +267,8 @@
   }
 }
 
-// Engines on which a few of many models stand, every twelfth of them asked for
-// more than it can be served.
+// Plans for engines with random models, where the demand for every twelfth
+// model exceeds the capacity.
 plan_stats StatsOfPlan(std::size_t engine_count) {
   constexpr std::size_t kModels = 336;
   std::mt19937_64 random{5};
@@ -288,7 +289,8 @@
   return stats;
 }
 
-// With a look at every engine in each step it was the square of the engines.
+// Scanning every engine in each step makes the work of a plan quadratic in the
+// number of engines.
 BOOST_AUTO_TEST_CASE(the_work_of_a_plan_grows_no_faster_than_the_engines) {
   const auto scanned = [](std::size_t engines) {
     return static_cast<double>(StatsOfPlan(engines).scanned_engines);
--- a/tests/auto/decisions/test_placement.cc
+++ b/tests/auto/decisions/test_placement.cc
@@ -33,7 +33,7 @@
   return each;
 }
 
-// A deployment whose engines carry out every order at once.
+// A deployment whose engines execute every order at once.
 class simulated_site {
  public:
   std::vector<placement_model> models;
@@ -42,7 +42,7 @@
   std::int64_t moves = 0;
   std::int64_t fewest_replicas = 1000;
 
-  // Plans and carries out until nothing is left to do.
+  // Plans and executes moves until a plan has none.
   placement_plan Run(int rounds = 50) {
     placement_plan plan;
     for (int i = 0; i < rounds; ++i) {
@@ -158,7 +158,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(replicas_spread_again_when_a_lost_zone_returns) {
-  // Found by reachable.scn: both replicas stayed in one availability zone.
+  // Both replicas stayed in one availability zone after the other returned
+  // (reachable.scn).
   simulated_site site;
   site.servers = {Server("s1", "a", 50), Server("s2", "b", 50),
                   Server("s3", "b", 50)};
@@ -186,7 +187,7 @@
   site.Run();
   BOOST_TEST(site.Replicas("model/busy@1") == 3);
   site.initialized = true;
-  // The quiet one becomes the busiest.
+  // Demand moves from the first model to the second.
   site.models[0].demand = 0.1;
   site.models[1].demand = 20;
   site.Run();
@@ -216,7 +217,7 @@
   const auto plan = PlanPlacement(site.models, site.servers, site.settings);
   BOOST_REQUIRE(plan.moves.size() == 1U);
   BOOST_TEST(plan.moves.front().server == "s1");
-  // While its answer may still come, nothing is sent.
+  // Nothing is sent while its response may still arrive.
   site.servers[0].pending_orders.insert("lost");
   BOOST_TEST(
       PlanPlacement(site.models, site.servers, site.settings).moves.empty());
--- a/tests/auto/decisions/test_replica_wait.cc
+++ b/tests/auto/decisions/test_replica_wait.cc
@@ -29,7 +29,8 @@
   BOOST_TEST(!ShouldWaitForReplica(model));
 }
 
-// Whoever cannot be served in time hears so at once, and when to come.
+// A request that cannot be served in time is refused at once with a retry-after
+// delay.
 BOOST_AUTO_TEST_CASE(a_short_objective_is_refused_at_once) {
   unavailable_model model;
   model.objective = 400ms;
--- a/tests/auto/decisions/test_reservation.cc
+++ b/tests/auto/decisions/test_reservation.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Accelerator memory is never overcommitted, whatever happens to orders.
+// Accelerator memory is never overcommitted, whether orders are delayed, lost
+// or delivered twice.
 #include <algorithm>
 #include <optional>
 #include <random>
@@ -30,9 +31,9 @@
   return record;
 }
 
-// An engine, the record in the key-value service, orders under way, and two
-// controllers that take turns in holding the lease, one of which may be
-// paused at any point. Each step does one thing at random.
+// Simulates an engine, the record in the key-value service, orders in transit,
+// and two controllers that alternate as lease holder and may pause at any
+// point. Each step performs one random action.
 class failure_schedule {
  public:
   failure_schedule(bool fencing,
@@ -90,7 +91,7 @@
     // The record as this controller last read or wrote it.
     server_reservation record;
     std::int64_t revision = 0;
-    // Recorded, and not sent yet: a pause may lie here.
+    // Recorded and not sent yet; the controller may pause in between.
     std::vector<order> to_send;
   };
   struct sent_order {
@@ -169,14 +170,14 @@
     sent_order& each = sent_orders_[Random(sent_orders_.size())];
     if (each.run != Run() || (each.delivered && !redelivery_))
       return;
-    // A redelivery is one more at the most.
+    // An order is redelivered at most once.
     if (each.delivered && std::ranges::count(done_ids_, each.sent.id) > 1)
       return;
     each.delivered = true;
     Execute(each);
   }
 
-  // The answer to a delivered order comes back, in any order.
+  // Responses to delivered orders arrive in any order.
   void RespondToOne() {
     if (sent_orders_.empty())
       return;
@@ -197,8 +198,8 @@
       sent_orders_.erase(sent_orders_.begin() + static_cast<long>(index));
   }
 
-  // A sender gives up: the connection is gone, though the order may have
-  // arrived and take effect at any time.
+  // The sender's connection is lost and the order times out, though it may have
+  // arrived and may take effect at any time.
   void TimeOutOne() {
     if (sent_orders_.empty())
       return;
@@ -216,8 +217,8 @@
 
   void TakeReport(controller& one) {
     server_reservation record = one.record;
-    // Half the time an old report, half the time one that was asked for; what
-    // the latter says is loaded may lag within the run.
+    // Either an old report or a requested one with equal probability; the
+    // contents of the latter may lag behind within the run.
     old_reports_.push_back(Report());
     const engine_report& any = old_reports_[Random(old_reports_.size())];
     const bool asked = Random(2) == 0;
@@ -272,7 +273,7 @@
       loads += run.loads();
     }
   }
-  // The schedules did load.
+  // The schedules have executed enough loads.
   BOOST_TEST(loads > 10'000);
 }
 
@@ -284,7 +285,7 @@
   MarkFinished(record, "1");
   ApplyRequestedReport(record, {"run1", 1, {}, {}});
   BOOST_TEST(ReservedMemory(record) == 6);
-  // The next run began after its last sending.
+  // The next run started after the last transmission of the order.
   ApplyRequestedReport(record, {"run2", 1, {}, {}});
   BOOST_TEST(ReservedMemory(record) == 0);
 }
@@ -301,13 +302,15 @@
   auto record = MakeRecord(false, true, false);
   RecordLoad(record, "1", "m@1", 6);
   MarkFinished(record, "1");
-  // It may have reached run2, which was not known of when it was sent.
+  // It may have reached run2, which was unknown when the order was sent.
   ApplyRequestedReport(record, {"run2", 1, {}, {}});
   BOOST_TEST(ReservedMemory(record) == 6);
 }
 
 BOOST_AUTO_TEST_CASE(a_report_between_two_loads_does_not_resolve_the_first) {
-  // Found by no_schedule_of_failures_overcommits_memory.
+  // Regression of no_schedule_of_failures_overcommits_memory: the report does
+  // not update m@1, which has a later response, so it must not resolve the
+  // first load either.
   auto record = MakeRecord(true, true, false);
   record.capacity_mb = 100;
   RecordLoad(record, "1", "m@1", 4);
@@ -325,7 +328,7 @@
   Resolve(record, "1", order_response::kDone, 5);
   ApplyRequestedReport(record, {"run1", 4, {}, {}});
   BOOST_TEST(ReservedMemory(record) == 4);
-  // Nor does that of an engine which does not count its changes.
+  // Neither does a report of an engine without change counts.
   ApplyRequestedReport(record, {"run1", 0, {}, {}});
   BOOST_TEST(ReservedMemory(record) == 4);
 }
@@ -337,7 +340,7 @@
   RecordUnload(record, "2", "m@1");
   Resolve(record, "2", order_response::kDone, 0);
   BOOST_TEST(ReservedMemory(record) == 0);
-  // Not where a load may have followed the unload.
+  // Nothing is freed if a load may have followed the unload.
   RecordUnload(record, "3", "m@1");
   RecordLoad(record, "4", "m@1", 4);
   Resolve(record, "4", order_response::kDone, 0);
@@ -361,7 +364,7 @@
   MarkFinished(record, "1");
   ApplyRequestedReport(record, {"run1", 1, {}, {}});
   Resolve(record, "2", order_response::kDone, 3);
-  // The first may have been carried out before; a report tells.
+  // The first may have been executed before; a report shows whether it was.
   BOOST_TEST(ReservedMemory(record) == 8);
   auto before = record;
   ApplyReport(before, {"run1", 3, {{"m@1", 1}, {"n@1", 1}}, {}});
@@ -371,8 +374,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(fencing_does_not_resolve_unfinished_orders) {
-  // Found by no_schedule_of_failures_overcommits_memory: an order of a paused
-  // sender, fenced off in one run, reached the next before that was known.
+  // Regression of no_schedule_of_failures_overcommits_memory: an order of a
+  // paused sender, fenced off in one run, reached the next run before that run
+  // was known.
   auto record = MakeRecord(true, true, false);
   RecordLoad(record, "1", "m@1", 4);
   RecordLoad(record, "2", "n@1", 4);
--- a/tests/auto/decisions/test_routing.cc
+++ b/tests/auto/decisions/test_routing.cc
@@ -42,7 +42,7 @@
   std::mt19937_64 random(1);
   const std::vector<server_view> servers = {Server("a", 3), Server("b", 10)};
   const std::vector<std::string> first = {"a"};
-  // The other is busy, not gone: it is waited for.
+  // The other server is busy but available, so the request waits for it.
   BOOST_TEST(!ChooseServer(servers, {1, 0, first}, random).has_value());
   const std::vector<std::string> both = {"a", "b"};
   BOOST_TEST(*ChooseServer(servers, {1, 0, both}, random) == 0U);
