--- a/src/decisions/model_plan.cc
+++ b/src/decisions/model_plan.cc
@@ -105,7 +105,7 @@
   plan_limits limits;
   // Engines with weights of other models that may still start to load from the
   // weight store.
-  std::int64_t nonempty_store_loads = 0;
+  std::int64_t limited_store_loads = 0;
   // Replicas of each model that serve, and the same with those being loaded.
   std::vector<std::int64_t> ready;
   std::vector<std::int64_t> planned;
@@ -244,7 +244,7 @@
 
 bool MayLoadFromStore(const plan_state& state, const plan_engine& engine) {
   return state.limits.store_loads > 0 &&
-         (IsEmpty(engine) || state.nonempty_store_loads > 0);
+         (IsEmpty(engine) || state.limited_store_loads > 0);
 }
 
 // Evaluates one engine and updates `best` if the net gain is higher. Returns
@@ -318,20 +318,21 @@
     engine.loading.push_back(model);
     if (chosen.source == weight_source::kStore) {
       --state.limits.store_loads;
-      state.nonempty_store_loads -= IsEmpty(engine) ? 0 : 1;
+      state.limited_store_loads -= IsEmpty(engine) ? 0 : 1;
     }
   } else {
-    const std::size_t victim = chosen.evictions.models.front();
-    state.steps.push_back({chosen.engine, false, victim, chosen.source, model});
-    std::erase(engine.loaded, victim);
-    --state.replicas_by_zone[victim][state.engine_zones[chosen.engine]];
-    --state.ready[victim];
-    --state.planned[victim];
-    const bool copy_remains =
-        Contains(engine.in_memory, victim) || Contains(engine.on_disk, victim);
+    const std::size_t evicted = chosen.evictions.models.front();
+    state.steps.push_back(
+        {chosen.engine, false, evicted, chosen.source, model});
+    std::erase(engine.loaded, evicted);
+    --state.replicas_by_zone[evicted][state.engine_zones[chosen.engine]];
+    --state.ready[evicted];
+    --state.planned[evicted];
+    const bool copy_remains = Contains(engine.in_memory, evicted) ||
+                              Contains(engine.on_disk, evicted);
     if (!copy_remains)
-      --state.weight_copies[victim];
-    UpdateGains(state, victim);
+      --state.weight_copies[evicted];
+    UpdateGains(state, evicted);
   }
   ++state.planned[model];
   UpdateGains(state, model);
@@ -411,8 +412,8 @@
     if (!engine.serving)
       continue;
     ++serving;
-    const bool beside = engine.loads_from_store && !IsEmpty(engine);
-    loading_from_store += beside ? 1 : 0;
+    const bool is_limited = engine.loads_from_store && !IsEmpty(engine);
+    loading_from_store += is_limited ? 1 : 0;
     for (const std::size_t model : engine.loaded) {
       ++state.ready[model];
       ++state.planned[model];
@@ -430,7 +431,7 @@
   const double share = limits.no_demand ? 1 : kStoreLoadShare;
   const auto max_loading = static_cast<std::int64_t>(
       std::ceil(share * static_cast<double>(serving)));
-  state.nonempty_store_loads = max_loading - loading_from_store;
+  state.limited_store_loads = max_loading - loading_from_store;
   for (std::size_t model = 0; model < models.size(); ++model)
     UpdateGains(state, model);
   return state;
@@ -498,12 +499,12 @@
   std::vector<bool> unplaceable(state.models.size());
   while (state.limits.store_loads > kReservedStoreLoads) {
     std::optional<std::size_t> largest_deficit;
-    double max_need = 0;
+    double max_deficit = 0;
     for (std::size_t i = 0; i < state.models.size(); ++i) {
-      const double need = unplaceable[i] ? 0 : CopyDeficit(state, i);
-      if (need > max_need) {
+      const double deficit = unplaceable[i] ? 0 : CopyDeficit(state, i);
+      if (deficit > max_deficit) {
         largest_deficit = i;
-        max_need = need;
+        max_deficit = deficit;
       }
     }
     if (!largest_deficit)
