--- a/src/host/request/server_search.cc
+++ b/src/host/request/server_search.cc
@@ -43,9 +43,10 @@
 }
 
 // When a part of the objective has passed, or all of the time.
-base::time_point ObjectiveCutoff(const routed_request& routed, double part) {
+base::time_point ObjectiveCutoff(const routed_request& routed,
+                                 double fraction) {
   const auto timeout =
-      duration_cast<milliseconds>(routed.route->objective * part);
+      duration_cast<milliseconds>(routed.route->objective * fraction);
   return std::min(routed.arrived + timeout, routed.deadline);
 }
 
