--- a/src/decisions/admission.h
+++ b/src/decisions/admission.h
@@ -14,7 +14,7 @@
 
 #include "base/duration.h"
 #include "base/result_code.h"
-#include "decisions/come_back.h"
+#include "decisions/retry_schedule.h"
 #include "decisions/routing.h"
 #include "decisions/token_bucket.h"
 
--- a/src/decisions/come_back.cc
+++ b/src/decisions/retry_schedule.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/come_back.h"
+#include "decisions/retry_schedule.h"
 
 #include <algorithm>
 
--- a/src/decisions/come_back.h
+++ b/src/decisions/retry_schedule.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // When a refused caller should come back: a reserved place in a later window,
 // so that those refused together do not return together.
-#ifndef VALELEDGE_DECISIONS_COME_BACK_H_
-#define VALELEDGE_DECISIONS_COME_BACK_H_
+#ifndef VALELEDGE_DECISIONS_RETRY_SCHEDULE_H_
+#define VALELEDGE_DECISIONS_RETRY_SCHEDULE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -34,4 +34,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_COME_BACK_H_
+#endif  // VALELEDGE_DECISIONS_RETRY_SCHEDULE_H_
--- a/tests/auto/decisions/limit_figures.cc
+++ b/tests/auto/decisions/limit_figures.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "limit_world.h"
+#include "limit_simulation.h"
 
 namespace {
 
--- a/tests/auto/decisions/limit_world.h
+++ b/tests/auto/decisions/limit_simulation.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Ways to keep a limit over many hosts, played in virtual time: requests come
 // to hosts at random, messages take their time, and hosts get into trouble.
-#ifndef VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_WORLD_H_
-#define VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_WORLD_H_
+#ifndef VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_SIMULATION_H_
+#define VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_SIMULATION_H_
 
 #include <algorithm>
 #include <chrono>
@@ -284,4 +284,4 @@
 
 }  // namespace valeledge::test
 
-#endif  // VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_WORLD_H_
+#endif  // VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_SIMULATION_H_
--- a/tests/auto/decisions/come_back_figures.cc
+++ b/tests/auto/decisions/retry_schedule_figures.cc
@@ -11,7 +11,7 @@
 #include <queue>
 #include <random>
 
-#include "decisions/come_back.h"
+#include "decisions/retry_schedule.h"
 
 namespace {
 
--- a/tests/auto/decisions/retry_world.h
+++ b/tests/auto/decisions/retry_simulation.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Retry budgets of many hosts, played in virtual time: callers send requests,
 // attempts fail, and hosts start again, lose sight of each other, or stop.
-#ifndef VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_WORLD_H_
-#define VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_WORLD_H_
+#ifndef VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_SIMULATION_H_
+#define VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_SIMULATION_H_
 
 #include <algorithm>
 #include <chrono>
@@ -149,4 +149,4 @@
 
 }  // namespace valeledge::test
 
-#endif  // VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_WORLD_H_
+#endif  // VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_SIMULATION_H_
--- a/tests/auto/decisions/test_come_back.cc
+++ b/tests/auto/decisions/test_retry_schedule.cc
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "decisions/come_back.h"
+#include "decisions/retry_schedule.h"
 
 namespace {
 
--- a/tests/auto/decisions/test_shared_retry_budget.cc
+++ b/tests/auto/decisions/test_shared_retry_budget.cc
@@ -5,7 +5,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "retry_world.h"
+#include "retry_simulation.h"
 
 namespace {
 
--- a/tests/auto/decisions/test_workspace_limit.cc
+++ b/tests/auto/decisions/test_workspace_limit.cc
@@ -3,7 +3,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "limit_world.h"
+#include "limit_simulation.h"
 
 namespace {
 
