--- a/src/decisions/admission.cc
+++ b/src/decisions/admission.cc
@@ -12,7 +12,7 @@
 using base::result_code;
 using detail::partner_queue;
 
-// Weight of each new attempt in the mean of how long attempts take.
+// Weight of a new sample in the smoothed service time.
 constexpr double kServiceSmoothing = 0.1;
 
 std::int64_t UsableSlots(const cell_admission& cell) {
@@ -24,9 +24,10 @@
   return std::max<std::int64_t>(slots, 1);
 }
 
-// Requests a second that the cell can serve when all slots are in use. It is
-// not what it serves now: a quiet cell must not refuse a burst. Before any
-// attempt has ended, each slot is taken to serve one a second.
+// Requests per second that the cell can serve with all slots in use. The
+// current throughput does not serve as an estimate: an idle cell would refuse a
+// burst. Until an attempt has ended, each slot is assumed to serve one request
+// per second.
 double ServiceRate(const cell_admission& cell) {
   const auto slots = static_cast<double>(UsableSlots(cell));
   const double each = cell.mean_service_time.count();
@@ -47,7 +48,7 @@
   return {ticket, code, wait};
 }
 
-// The wait for a bucket of a limit, if it refuses.
+// Time until the limit admits `amount`; nullopt if it does so now.
 std::optional<std::chrono::milliseconds> LimitWait(
     std::map<std::string, token_bucket>& limits,
     const std::string& key,
@@ -82,7 +83,7 @@
     if (!wait)
       wait = LimitWait(cell.token_limits, key, request.tokens, now);
     if (wait) {
-      // Behind the limit's own wait, places are handed out one after another.
+      // Retries after the limit's own wait are spread over the retry schedule.
       const auto place = ReserveRetrySlot(cell.retries, now,
                                           ServedPerWindow(cell), cell.queued);
       return refused_request{request.ticket, code, std::max(*wait, place)};
@@ -95,7 +96,8 @@
   return std::nullopt;
 }
 
-// Whether the requests already waiting make a start in time hopeless.
+// Whether the request cannot start in time behind the requests that are already
+// queued.
 bool MissesLatestStart(const cell_admission& cell,
                        const waiting_request& request,
                        base::time_point now) {
@@ -103,7 +105,7 @@
     return true;
   if (cell.mean_service_time.count() == 0 || cell.queued == 0)
     return false;
-  // Its own partner's share of the rate works on what waits before it.
+  // The requests ahead of it are served at its own partner's share of the rate.
   double weights = 0;
   for (const auto& [name, queue] : cell.partners) {
     if (queue.queued > 0 || name == request.partner)
@@ -123,8 +125,8 @@
          request.latest_start;
 }
 
-// The first request of a partner, in the order of priorities, that some
-// server can take now.
+// The first request of a partner, in order of priority, that a server can take
+// now.
 struct candidate {
   std::int64_t priority = 0;
   std::size_t position = 0;
@@ -135,7 +137,8 @@
                                        const partner_queue& queue,
                                        std::mt19937_64& random) {
   for (const auto& [priority, waiting] : queue.waiting) {
-    // Requests for the same unit fail alike; each unit is tried once.
+    // If no server can take a request for a unit, none can take another one, so
+    // each unit is tried once.
     std::vector<unit_hash> tried;
     for (std::size_t i = 0; i < waiting.size(); ++i) {
       const waiting_request& request = waiting[i];
@@ -167,7 +170,8 @@
   return request;
 }
 
-// A partner that was idle starts level with the others: it may not save up.
+// Advances the virtual time of an idle partner to that of the cell, so that it
+// does not accumulate unused share.
 void SyncVirtualTime(cell_admission& cell, partner_queue& queue) {
   if (queue.queued == 0)
     queue.virtual_time = std::max(queue.virtual_time, cell.virtual_now);
@@ -193,7 +197,7 @@
   }
 }
 
-// Requests whose last ready server has gone are refused, not kept.
+// Refuses queued requests whose last ready server is gone.
 void RefuseUnservable(cell_admission& cell,
                       base::time_point now,
                       dispatch_result& out) {
--- a/src/decisions/admission.h
+++ b/src/decisions/admission.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Admission of one cell: limits, partners' shares and the queue.
+// Admission control of one cell: rate limits, weighted fair queueing among
+// partners, and the request queue.
 #ifndef VALELEDGE_DECISIONS_ADMISSION_H_
 #define VALELEDGE_DECISIONS_ADMISSION_H_
 
@@ -20,31 +21,31 @@
 
 namespace valeledge::decisions {
 
-// A request that waits for a backend server.
+// A queued request that waits for a backend server.
 struct waiting_request {
-  // Given by the caller of Enqueue; names the request in verdicts.
+  // Assigned by the caller of Enqueue; identifies the request in the results.
   std::int64_t ticket = 0;
   std::string partner;
-  // Key of the row whose limits count: "model/NAME" or "service/NAME".
+  // Key of the table row whose limits apply: "model/NAME" or "service/NAME".
   std::string limit_key;
   unit_hash unit = 0;
   std::int64_t prefix_hash = 0;
   std::int64_t priority = 5;
-  // Tokens it will probably take; its cost against the partner's share.
+  // Estimated number of tokens, charged against the partner's share.
   double tokens = 1;
   base::time_point arrived;
-  // Later than this, a first token would miss its target.
+  // Latest start at which the first token can still meet its target.
   base::time_point latest_start;
   std::vector<std::string> avoid;
 };
 
-// A request that goes to a server now.
+// A request that is assigned to a server.
 struct admitted_request {
   waiting_request request;
   std::size_t server = 0;
 };
 
-// A request that will not run.
+// A request that was refused and will not run.
 struct refused_request {
   std::int64_t ticket = 0;
   base::result_code code = base::result_code::kOverloaded;
@@ -52,19 +53,20 @@
 };
 
 struct admission_settings {
-  // Requests that wait in one cell.
+  // Maximum number of queued requests in one cell.
   std::int64_t queue_limit = 1000;
-  // How long tokens and requests of a limit may be saved up.
+  // Burst of a limit, as the time over which unused requests and tokens
+  // accumulate.
   std::chrono::microseconds limit_burst = std::chrono::seconds(1);
 };
 
 namespace detail {
 
-// One partner's queue in a cell; a deque for each priority.
+// One partner's queue in a cell, with one deque for each priority.
 struct partner_queue {
   double weight = 1;
-  // Tokens served so far, each divided by the weight: start-time fair
-  // queueing picks the partner that has had the least.
+  // Tokens charged so far, each divided by the weight. Start-time fair queueing
+  // serves the partner with the lowest virtual time.
   double virtual_time = 0;
   std::map<std::int64_t, std::deque<waiting_request>> waiting;
   std::int64_t queued = 0;
@@ -73,7 +75,7 @@
 
 }  // namespace detail
 
-// Everything that decides for one cell. Plain; changed by the functions below.
+// Admission state of one cell. A plain value, modified by the functions below.
 struct cell_admission {
   admission_settings settings;
   std::vector<server_view> servers;
@@ -83,17 +85,18 @@
   retry_schedule retries;
   double virtual_now = 0;
   std::int64_t queued = 0;
-  // How long an attempt takes, smoothed; zero until one has ended. With the
-  // slots that can be used it gives what a window of the retries can serve.
+  // Exponentially smoothed duration of an attempt; zero until one has ended.
+  // Together with the usable slots it determines how many requests a window of
+  // the retry schedule can serve.
   std::chrono::duration<double> mean_service_time{0};
 };
 
-// Sets a partner's promised share.
+// Sets the weight that determines a partner's guaranteed share.
 void SetWeight(cell_admission& cell, const std::string& partner, double weight);
 
-// Sets a limit of so many requests and tokens a second (0: none) for a key
-// such as "partner/NAME" or "model/NAME". `share` is the part of the limit
-// that this cell may give out.
+// Limits the requests and tokens per second (0: unlimited) of a key such as
+// "partner/NAME" or "model/NAME". `share` is the fraction of the limit that
+// this cell may grant.
 void SetLimits(cell_admission& cell,
                const std::string& key,
                std::int64_t requests,
@@ -101,40 +104,41 @@
                double share,
                base::time_point now);
 
-// Puts a request into the queue, or refuses it at once: beyond a limit, no
-// server for it, a full queue, or no chance to start in time.
+// Queues a request, or refuses it immediately if it exceeds a limit, no server
+// is ready for it, the queue is full, or it cannot start in time.
 std::optional<refused_request> Enqueue(cell_admission& cell,
                                        waiting_request request,
                                        base::time_point now);
 
-// What Dispatch decided; each request appears once.
+// Result of Dispatch. Each request appears once.
 struct dispatch_result {
   std::vector<admitted_request> admitted;
   std::vector<refused_request> refused;
 };
 
-// Sends waiting requests to free servers, the partner furthest below its share
-// first; refuses those that can no longer start in time. Counts admitted
-// requests in flight.
+// Assigns queued requests to free servers, starting with the partner that is
+// furthest below its share, and counts them as in flight. Refuses requests that
+// can no longer start in time or have no ready server.
 dispatch_result Dispatch(cell_admission& cell,
                          base::time_point now,
                          std::mt19937_64& random);
 
-// Removes a request whose caller went away; false if it is not waiting.
+// Removes a queued request whose caller has disconnected. Returns false if the
+// request is not queued.
 bool Withdraw(cell_admission& cell, std::int64_t ticket);
 
-// How an attempt at a server ended.
+// Outcome of an attempt at a server.
 struct ended_attempt {
   std::string server;
   std::string partner;
-  // Tokens that were charged when it started, and that it took.
+  // Tokens charged when the attempt started, and tokens actually used.
   double expected = 0;
   double tokens = 0;
-  // Zero if it says nothing of how long attempts take.
+  // Zero if the attempt does not count towards the mean service time.
   std::chrono::microseconds took{0};
 };
 
-// Frees the slot and corrects the partner's account.
+// Releases the slot and corrects the tokens charged to the partner.
 void EndAttempt(cell_admission& cell, const ended_attempt& ended);
 
 }  // namespace valeledge::decisions
--- a/src/decisions/advertised_limit.cc
+++ b/src/decisions/advertised_limit.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Reports that differ by less have no certain order.
+// The order of reports whose times differ by less than this is unknown.
 constexpr std::chrono::milliseconds kMaxReportDelay{500};
 
 limit_change Withdraw(limit_view& known, base::time_point when) {
--- a/src/decisions/retry.h
+++ b/src/decisions/retry.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Whether a failed attempt may be followed by another.
+// Decides whether a failed attempt is retried.
 #ifndef VALELEDGE_DECISIONS_RETRY_H_
 #define VALELEDGE_DECISIONS_RETRY_H_
 
@@ -13,16 +13,17 @@
 
 namespace valeledge::decisions {
 
-// Retries that one partner and model may still make: each request earns a
-// fraction of one, so that retries stay a fraction of requests.
+// Retry budget of one partner and model. Each request adds a fraction of a
+// retry, so that retries stay a fraction of requests.
 struct retry_budget {
   double earned_per_request = 0.1;
   double capacity = 10;
-  // Full at the start: a burst may meet a replica that is being unloaded.
+  // Full at the start, since an initial burst may reach a replica that is being
+  // unloaded.
   double available = 10;
 };
 
-// What is known of a request when an attempt has failed.
+// State of a request after a failed attempt.
 struct failed_attempt {
   base::outcome what_ran = base::outcome::kUnknown;
   bool idempotent = true;
@@ -31,31 +32,31 @@
 };
 
 enum class retry_verdict {
-  // Send again under a new attempt id.
+  // Send the request again with a new attempt id.
   kRetry,
-  // The final answer is the attempt's own outcome.
+  // Return the failed attempt's own outcome to the caller.
   kAbandon,
-  // Another attempt would be allowed, but the budget is spent.
+  // Another attempt would be allowed, but the budget is exhausted.
   kBudgetExhausted,
 };
 
-// Attempts at one request, the first included.
+// Maximum number of attempts for one request, including the first.
 inline constexpr std::int64_t kMaxAttempts = 4;
 
-// Less time than this available: another attempt cannot end in time.
+// Minimum remaining time for another attempt, which could not finish in less.
 inline constexpr std::chrono::microseconds kMinRemaining =
     std::chrono::milliseconds(5);
 
-// Counts a request that may need retries.
+// Credits the budget with what one request earns.
 void EarnRetry(retry_budget& budget);
 
-// Decides after a failure; takes from the budget when the verdict is kRetry.
-// A call that may not be repeated is sent again only if it certainly did not
-// run.
+// Decides about a retry after a failed attempt; takes one retry from the budget
+// if the verdict is kRetry. A call that is not idempotent is retried only if it
+// is known not to have run.
 retry_verdict DecideRetry(const failed_attempt& failed, retry_budget& budget);
 
-// A pause before attempt number `attempts_made` + 1: anything from none to a
-// bound that doubles with each attempt (full jitter).
+// Backoff before attempt number `attempts_made` + 1, uniformly distributed
+// between zero and a bound that doubles with each attempt (full jitter).
 std::chrono::microseconds RetryBackoff(std::int64_t attempts_made,
                                        std::mt19937_64& random);
 
--- a/src/decisions/retry_schedule.cc
+++ b/src/decisions/retry_schedule.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Drops the windows that have passed and keeps one slot for each window.
+// Discards the windows that have passed and keeps one entry for each window up
+// to the horizon.
 void DropPassedWindows(retry_schedule& schedule, std::int64_t current) {
   const auto length = static_cast<std::size_t>(schedule.horizon + 1);
   const std::int64_t passed = current - schedule.first_window;
@@ -32,7 +33,7 @@
           now.time_since_epoch());
   DropPassedWindows(schedule, since_start / schedule.window);
   const std::int64_t slots = std::max<std::int64_t>(per_window, 1);
-  // The windows that the backlog fills are not offered.
+  // Skips the windows that the backlog occupies.
   std::int64_t offset = std::min(
       schedule.horizon, 1 + std::max<std::int64_t>(backlog, 0) / slots);
   auto taken = [&](std::int64_t window) -> std::int64_t& {
--- a/src/decisions/retry_schedule.h
+++ b/src/decisions/retry_schedule.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// When a refused caller should come back: a reserved place in a later window,
-// so that those refused together do not return together.
+// Retry-after delays for refused callers. Each caller gets a reserved slot in a
+// later window, so that callers that were refused together do not retry
+// together.
 #ifndef VALELEDGE_DECISIONS_RETRY_SCHEDULE_H_
 #define VALELEDGE_DECISIONS_RETRY_SCHEDULE_H_
 
@@ -12,21 +13,23 @@
 
 namespace valeledge::decisions {
 
-// Windows of places. The idea of handing out places in future windows and of
-// a longest delay is from "Distributed Drip Rate-Limiter for Event Streams";
-// docs/design/COME-BACK.md compares it with a constant and a random time.
+// Slots in consecutive time windows. Allocating slots in future windows and
+// limiting the delay follow "Distributed Drip Rate-Limiter for Event Streams";
+// docs/design/COME-BACK.md compares the schedule with a constant and a random
+// delay.
 struct retry_schedule {
   std::chrono::microseconds window = std::chrono::seconds(1);
-  // No place lies further ahead than this many windows.
+  // Maximum number of windows by which a slot lies ahead.
   std::int64_t horizon = 30;
-  // Places taken in each window, from `first_window` on.
+  // Slots reserved in each window, starting at `first_window`.
   std::vector<std::int64_t> taken;
   std::int64_t first_window = 0;
 };
 
-// Takes the next place and tells how long from `now` it lies. `per_window` is
-// what can be served in one window; `backlog` is what waits already. A full
-// horizon answers its end.
+// Reserves the next slot and returns the time from `now` until that slot.
+// `per_window` is the number of requests that one window can serve; `backlog`
+// is the number of requests already queued. If no window has a free slot,
+// returns the end of the horizon.
 std::chrono::milliseconds ReserveRetrySlot(retry_schedule& schedule,
                                            base::time_point now,
                                            std::int64_t per_window,
--- a/src/decisions/server_limiter.cc
+++ b/src/decisions/server_limiter.cc
@@ -9,22 +9,22 @@
 
 using std::chrono::milliseconds;
 
-// The burst is one request and what the rate gives in this time.
+// The burst is one request plus what the rate yields in this time.
 constexpr double kBurstSeconds = 0.25;
 
-// One request in ten seconds tells whether a limit of 0 still holds.
+// One request in ten seconds finds out whether a limit of 0 still applies.
 constexpr double kMinRate = 0.1;
 
-// Rates beyond this do not bind; it keeps times above zero.
+// Higher rates have no limiting effect; the bound keeps intervals above zero.
 constexpr double kMaxRate = 1e6;
 
-// Refused hosts return this many times as often as permits are granted, since
-// some have no request by then.
+// Retries are scheduled at this multiple of the permit rate, since some hosts
+// have no request left by the time of their retry.
 constexpr double kRetriesPerPermit = 2;
 
 constexpr milliseconds kMaxRetryAfter{5000};
 
-// A refused request comes back so long after it was told to, at the most.
+// Maximum lateness of a retry after its scheduled time.
 constexpr milliseconds kMaxRetryLateness{50};
 
 void SetBucketRate(token_bucket& bucket, double rate) {
--- a/src/decisions/server_limiter.h
+++ b/src/decisions/server_limiter.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: MIT
-// Shares out the rate limit that a backend server advertises among all hosts.
+// Allocates the rate limit that a backend server advertises to all hosts.
 //
-// Answers the load at which a server takes fewer requests a second than its
-// callers ask for. Only the holder of the lease grants permits, so no two hosts
-// do at the same time, whoever sees whom; a new holder begins with an empty
-// bucket. In any span of length t, all holders together grant at most rate * t
-// and one burst, however often the holder changes.
+// Needed when a server accepts fewer requests per second than its callers send.
+// Only the lease holder grants permits, so no two hosts grant them at the same
+// time, regardless of which hosts see each other; a new lease holder starts
+// with an empty bucket. In any interval of length t, all lease holders together
+// grant at most rate * t and one burst, no matter how often the lease holder
+// changes.
 #ifndef VALELEDGE_DECISIONS_SERVER_LIMITER_H_
 #define VALELEDGE_DECISIONS_SERVER_LIMITER_H_
 
@@ -17,31 +18,32 @@
 
 namespace valeledge::decisions {
 
-// The permits of one server. Changed only by the functions below.
+// Permits of one server. Modified only by the functions below.
 struct server_limiter {
   token_bucket bucket;
-  // Retries of refused requests are spread: the next one is due then.
+  // Retries of refused requests are spread over time; the next one is due then.
   base::time_point next_retry;
-  // Less urgent requests are refused until then, since one of this priority
-  // was refused and comes back. Lower priorities are more urgent.
+  // Until `urgent_until`, requests less urgent than `urgent_priority` are
+  // refused, since a refused request of that priority will be retried. Lower
+  // values are more urgent.
   std::int64_t urgent_priority = 0;
   base::time_point urgent_until;
 };
 
-// A limiter that has no permit yet. `rate`: requests a second; one of 0 still
-// gives a permit from time to time, by which its end is found out.
+// Returns a limiter that has no permit yet. `rate`: requests per second; a rate
+// of 0 still yields occasional permits, which reveal when the limit ends.
 server_limiter MakeServerLimiter(double rate, base::time_point now);
 
-// The server advertises another rate from now on.
+// Sets a new rate that the server advertises.
 void SetRate(server_limiter& limiter, double rate, base::time_point now);
 
 struct permit_verdict {
   bool granted = false;
-  // When to ask again, if refused.
+  // Delay until the next request for a permit, if refused.
   std::chrono::milliseconds retry_after{0};
 };
 
-// Asks for a permit for one request.
+// Requests a permit for one request to the server.
 permit_verdict TryAcquirePermit(server_limiter& limiter,
                                 std::int64_t priority,
                                 base::time_point now);
--- a/src/decisions/shared_retry_budget.cc
+++ b/src/decisions/shared_retry_budget.cc
@@ -7,25 +7,26 @@
 
 namespace {
 
-// Requests are counted in steps of this length.
+// Requests are counted in buckets of this length.
 constexpr std::chrono::milliseconds kBucketLength{250};
 
-// The part of the ratio that requests earn, and the part of the window for
-// which unused retries are kept: kEarnedFraction * (1 + kRetentionFraction) is
-// at most 1, so that what was earned before a window is covered too.
+// Fraction of the ratio that requests earn, and fraction of the window for
+// which unused retries are kept. kEarnedFraction * (1 + kRetentionFraction) is
+// at most 1, so that retries earned before a window are covered as well.
 constexpr double kEarnedFraction = 0.8;
 constexpr double kRetentionFraction = 0.25;
 
-// What a process may save up beyond that, and has after a window without any
-// retry.
+// Retries that a process may save beyond these, and that it has after a window
+// without any retry.
 constexpr double kSavedRetries = 1;
 
 double EarnedPerRequest(const retry_policy& policy) {
   return kEarnedFraction * policy.ratio;
 }
 
-// Forgets old requests, and retries beyond what the others have earned; sees
-// to the one that a process has after a window without any.
+// Removes old requests and the retries that exceed what the remaining requests
+// have earned. Grants the saved retry to a process that has run for a whole
+// window without any.
 void Trim(shared_retry_budget& budget,
           const retry_policy& policy,
           base::time_point now) {
@@ -39,8 +40,8 @@
     requests += static_cast<double>(each.requests);
   const double capacity = kSavedRetries + EarnedPerRequest(policy) * requests;
   budget.tokens = std::min(budget.tokens, capacity);
-  // At a host without a retry in a whole window, no earlier process has made
-  // one in that window either.
+  // If this process has not retried in a whole window, no earlier process of
+  // the host has retried in that window either.
   if (!budget.has_retried && now - budget.started >= policy.window)
     budget.tokens = std::max(budget.tokens, kSavedRetries);
 }
--- a/src/decisions/shared_retry_budget.h
+++ b/src/decisions/shared_retry_budget.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
-// A bound on the retries of all hosts that each host keeps by itself.
+// Bounds the retries of all hosts together without communication between hosts.
 //
-// A process earns retries with the requests that it has seen itself, and keeps
-// unused ones only for a short while. Nothing depends on how many hosts a
-// process sees, and a process that starts has nothing. In any window, all
-// processes together therefore retry at most what the requests in it and
-// shortly before it have earned, and one more for each host, which the
-// operators' slack covers.
+// A process earns retries with the requests that it receives itself, and keeps
+// unused retries only for a short time. The budget does not depend on how many
+// hosts a process sees, and a new process starts without retries. In any
+// window, all processes together therefore retry at most what the requests in
+// that window and shortly before it have earned, plus one retry for each host,
+// which the operators' slack covers.
 #ifndef VALELEDGE_DECISIONS_SHARED_RETRY_BUDGET_H_
 #define VALELEDGE_DECISIONS_SHARED_RETRY_BUDGET_H_
 
@@ -18,31 +18,31 @@
 
 namespace valeledge::decisions {
 
-// The bound on the retries of all hosts.
+// Limit on the retries of all hosts together.
 struct retry_policy {
-  // Retries for each request, in any window of this length.
+  // Maximum number of retries per request, in any window of length `window`.
   double ratio = 0.2;
   std::chrono::milliseconds window{10'000};
 };
 
-// The retries that one process may still make. Changed only by the functions
-// below; `now` never goes back.
+// Retry budget of one process. Modified only by the functions below; `now` must
+// never decrease.
 struct shared_retry_budget {
   struct bucket {
     base::time_point begin;
     std::int64_t requests = 0;
   };
-  // Requests seen lately, oldest first.
+  // Recent requests, oldest first.
   std::deque<bucket> recent;
-  // When the process started.
+  // Start time of the process.
   base::time_point started;
-  // Earned and not used.
+  // Retries earned and not yet used.
   double tokens = 0;
   // Whether a retry was ever acquired.
   bool has_retried = false;
 };
 
-// Counts a request and what it earns.
+// Records a request and adds the fraction of a retry that it earns.
 void NoteRequest(shared_retry_budget& budget,
                  const retry_policy& policy,
                  base::time_point now);
@@ -52,7 +52,7 @@
               const retry_policy& policy,
               base::time_point now);
 
-// Takes one retry; false if the budget is exhausted.
+// Takes one retry. Returns false if the budget is exhausted.
 bool TryAcquireRetry(shared_retry_budget& budget,
                      const retry_policy& policy,
                      base::time_point now);
--- a/src/decisions/token_bucket.h
+++ b/src/decisions/token_bucket.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A rate limit as a plain value.
+// Token bucket for rate limits, as a plain value.
 #ifndef VALELEDGE_DECISIONS_TOKEN_BUCKET_H_
 #define VALELEDGE_DECISIONS_TOKEN_BUCKET_H_
 
@@ -9,7 +9,7 @@
 
 namespace valeledge::decisions {
 
-// Allows `rate` units a second and at most `burst` at once.
+// Allows `rate` units per second and at most `burst` units at once.
 struct token_bucket {
   double rate = 0;
   double burst = 0;
@@ -17,14 +17,16 @@
   base::time_point last_refill;
 };
 
-// Fills the bucket up to `now`. A changed rate or burst counts from now on.
+// Refills the bucket up to `now`. A rate or burst that is changed afterwards
+// applies from `now` on.
 void Refill(token_bucket& bucket, base::time_point now);
 
-// Takes `amount` if the bucket holds it; a bucket whose burst is smaller than
-// `amount` gives it when full, and goes below zero. False if it does not.
+// Takes `amount` if it is available. An `amount` above the burst is granted
+// when the bucket is full and makes the level negative. Returns false if it is
+// not available.
 bool TryTake(token_bucket& bucket, double amount, base::time_point now);
 
-// How long until TryTake would give `amount`; the bucket was refilled.
+// Time until TryTake grants `amount`. The bucket must have been refilled.
 std::chrono::microseconds TimeUntilAvailable(const token_bucket& bucket,
                                              double amount);
 
--- a/src/decisions/workspace_limit.cc
+++ b/src/decisions/workspace_limit.cc
@@ -10,8 +10,9 @@
 
 using seconds = std::chrono::duration<double>;
 
-// An owner grants nothing for so long: the previous one may not know yet that
-// it is replaced, and hosts that start together do not know each other.
+// A new owner grants nothing for this time: the previous owner may not know yet
+// that it was replaced, and hosts that start together do not know each other
+// yet.
 constexpr std::chrono::milliseconds kOwnerStartDelay{350};
 
 // The initial level of an owner whose process has just started, as a fraction
@@ -23,30 +24,33 @@
 // Time constant of smoothed rates.
 constexpr seconds kRateTimeConstant{2};
 
-// A host without an owner grants so much of its rate by itself, and so much of
-// that at once.
+// Without an owner, a host grants by itself what its rate yields in
+// kOwnerlessDuration, and at most what the rate yields in kOwnerlessBurst at
+// once.
 constexpr seconds kOwnerlessDuration{2};
 constexpr seconds kOwnerlessBurst{0.3};
 
-// A host that sends requests so often is found silent soon: after so many of
-// its intervals, and after so long at least.
+// A host that sends requests at least this regularly is soon detected as
+// unresponsive: after kUnresponsiveIntervals of its request interval, but not
+// before kMinUnresponsiveTime.
 constexpr seconds kMaxRegularInterval{0.2};
 constexpr std::int64_t kMinRegularCount = 8;
 constexpr double kUnresponsiveIntervals = 6;
 constexpr seconds kMinUnresponsiveTime{0.3};
 
-// Nothing is reserved for other hosts: they state this fraction of their rate
-// where the limit is short.
+// The owner reserves nothing for other hosts. These report this fraction of
+// their rate while the limit is exhausted.
 constexpr double kIrregularFraction = 0.25;
 
-// Members agree on who is visible after so long.
+// Time after which members agree on the visible hosts.
 constexpr seconds kMembershipConvergenceTime{4};
 
-// Until then a new owner grants at least this fraction of its clients' even
+// Before that, a new owner grants at least this fraction of its clients' even
 // share.
 constexpr double kUnconvergedFraction = 0.5;
 
-// A limit is short for so long after a request beyond it was refused.
+// A limit counts as exhausted for this time after a request beyond it was
+// refused.
 constexpr seconds kExhaustedDuration{8};
 
 constexpr std::chrono::milliseconds kClientUpdateInterval{50};
@@ -84,8 +88,8 @@
                       requests.interval * kUnresponsiveIntervals);
 }
 
-// Whether a host may go on at its whole rate without the first owner: what it
-// was granted is reserved for it, or the workspace is well below its limit.
+// Whether a host may continue at its full rate without its previous owner: the
+// granted rate is reserved for it, or the workspace is well below its limit.
 bool KeepsFullRate(const limit_allowance& allowance, base::time_point now) {
   const bool is_exhausted = allowance.last_exceeded &&
                             now - *allowance.last_exceeded < kExhaustedDuration;
@@ -138,7 +142,7 @@
          now - limiter.owned_since >= kMembershipConvergenceTime;
 }
 
-// Tokens a second that an owner may grant.
+// Tokens per second that an owner may grant.
 double GrantableRate(const limiter_state& limiter,
                      const catalog::workspace_limit& limit,
                      const limit_members& members,
@@ -146,7 +150,7 @@
   const double visible_fraction =
       std::clamp(members.visible_fraction, 0.0, 1.0);
   if (HasConverged(limiter, members, now)) {
-    // Silent hosts are the ones that are not visible soon after.
+    // Unresponsive hosts soon become invisible, so that the two are not added.
     const double missing =
         std::max(limit.rate * (1 - visible_fraction), limiter.reserved);
     return std::max(limit.rate - missing, 0.0);
@@ -160,7 +164,7 @@
   return std::min(limit.rate * visible_fraction, max_rate);
 }
 
-// The time after which a refused request is worth sending again.
+// Delay after which a refused request should be retried.
 std::chrono::milliseconds RetryAfter(limiter_state& limiter,
                                      const limit_members& members,
                                      double cost,
@@ -176,7 +180,7 @@
     limiter.next_retry = std::min(limiter.next_retry, now + kMaxRetryAfter);
     wait = limiter.next_retry - now;
   }
-  // The rate rises once membership has settled; retries stay spread.
+  // The rate rises once membership has converged; retries stay spread.
   if (!HasConverged(limiter, members, now)) {
     const auto converges_in =
         limiter.owned_since + kMembershipConvergenceTime - now;
@@ -203,7 +207,7 @@
                           bool is_newly_started,
                           base::time_point now) {
   limiter_state limiter;
-  // The previous owner may still grant what it has.
+  // The previous owner may still grant its remaining tokens.
   limiter.bucket.level = is_newly_started ? kInitialLevel * limit.burst : 0;
   limiter.bucket.last_refill = now;
   limiter.owned_since = now;
@@ -222,7 +226,7 @@
   bucket.rate = GrantableRate(limiter, limit, members, now);
   bucket.burst = limit.burst;
   Refill(bucket, now);
-  // A burst that was lowered holds at once.
+  // A lowered burst applies immediately.
   bucket.level = std::min(bucket.level, bucket.burst);
   if (now - limiter.owned_since < kOwnerStartDelay)
     return {limit_verdict::kNotOwned};
--- a/src/decisions/workspace_limit.h
+++ b/src/decisions/workspace_limit.h
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: MIT
-// Limits of workspaces that hold over all hosts together.
+// Workspace limits that apply across all hosts.
 //
-// One host owns each limit: it is chosen among the members, keeps one token
-// bucket, and is requested for each request. What a workspace asks for then
-// counts where it was requested, so that an even rise at all hosts, or callers
-// at a few of them, neither overrun the limit nor are refused below it.
+// Each limit has one owner, a host chosen among the members. The owner keeps a
+// single token bucket and decides about every request. Demand is therefore
+// counted in one place: neither an even increase at all hosts nor callers
+// concentrated on a few hosts overrun the limit or are refused below it.
 //
-// Members may disagree on who owns a limit, as in a network partition. What two
-// owners grant together is bounded: an owner reserves the rate of hosts that
-// fell silent, since these go on without it. A new owner grants the rate that
-// its clients had before, or half of their even share, until membership has
-// settled; from then on the visible fraction of the rate. A host whose owner
-// does not answer goes on at its rate for a short time.
+// Members may disagree about the owner of a limit, for example during a network
+// partition. What two owners grant together is bounded: an owner reserves the
+// rate of hosts that became unresponsive, since these continue without it.
+// Until membership has converged, a new owner grants the rate that its clients
+// had before, or half of their even share; from then on it grants the visible
+// fraction of the rate. A host whose owner does not respond continues at its
+// own rate for a short time.
 #ifndef VALELEDGE_DECISIONS_WORKSPACE_LIMIT_H_
 #define VALELEDGE_DECISIONS_WORKSPACE_LIMIT_H_
 
@@ -27,81 +28,83 @@
 
 namespace valeledge::decisions {
 
-// What one request counts. `tokens`: what its caller says it has; nothing if it
-// does not say, or nothing that makes sense.
+// Cost of one request in the unit of the limit. `tokens`: the token count that
+// the caller states; nullopt if it is missing or invalid.
 double RequestCost(const catalog::workspace_limit& limit,
                    std::optional<std::int64_t> tokens);
 
-// How often one host sends requests of a workspace.
+// Frequency at which one host sends requests of a workspace.
 struct request_interval {
   std::int64_t count = 0;
   base::time_point last;
-  // Between two requests, smoothed.
+  // Smoothed time between two requests.
   std::chrono::duration<double> interval{0};
 };
 
-// What an owner knows of one host that asks it.
+// An owner's state for one client host.
 struct limiter_client {
-  // Tokens granted to it a second.
+  // Tokens per second granted to the client.
   double rate = 0;
   base::time_point updated;
   request_interval requests;
 };
 
-// The state of a limit at its owner. Changed only by the functions below.
+// State of a limit at its owner. Modified by the functions below.
 struct limiter_state {
   token_bucket bucket;
   base::time_point owned_since;
   std::map<std::string, limiter_client> clients;
-  // Tokens a second: reserved for silent clients, and granted to all.
+  // Tokens per second reserved for unresponsive clients, and granted to all
+  // clients.
   double reserved = 0;
   double granted_rate = 0;
   base::time_point clients_updated_at;
-  // Retries of refused requests are spread: the next one is due then.
+  // Retries of refused requests are spread over time; the next one is due then.
   base::time_point next_retry;
-  // Tokens since the last log line.
+  // Tokens requested and granted since the last log line.
   double requested = 0;
   double granted = 0;
 };
 
 enum class limit_verdict : std::int32_t {
   kGranted = 0,
-  // The workspace asks for more than its limit.
+  // The workspace requests more than its limit.
   kExceeded = 1,
-  // This host does not own the limit, or has not for long enough.
+  // This host does not own the limit, or has not owned it for long enough.
   kNotOwned = 2,
 };
 
 struct limit_decision {
   limit_verdict verdict = limit_verdict::kNotOwned;
-  // When there is room, if the limit is last_exceeded.
+  // Time until tokens are available, if the limit is exceeded.
   std::chrono::milliseconds retry_after{0};
 };
 
-// Makes the state of a limit that this host now owns. `is_newly_started`: its
-// process has just started.
+// Returns the state of a limit that this host now owns. `is_newly_started`:
+// whether the process of this host has just started.
 limiter_state MakeLimiter(const catalog::workspace_limit& limit,
                           bool is_newly_started,
                           base::time_point now);
 
-// What a host asks for one request.
+// A host's request for the tokens of one request.
 struct limit_request {
-  // Unique among hosts.
+  // Host id, unique among hosts.
   std::string host;
   double cost = 0;
-  // Tokens that were granted to the host a second, by any owner.
+  // Tokens per second granted to the host, by any owner.
   double typical_rate = 0;
 };
 
-// What an owner knows of its members.
+// An owner's view of the membership.
 struct limit_members {
-  // Visible hosts as a fraction of the known ones, from 0 to 1.
+  // Visible hosts as a fraction of the known hosts, from 0 to 1.
   double visible_fraction = 1;
-  // Hosts that are known, visible or not.
+  // Known hosts, whether visible or not.
   std::int64_t known = 1;
   // Whether the owner's process has just started.
   bool is_newly_started = false;
-  // Whether nobody is suspected or dead: no other owner can be hidden.
+  // Whether no member is suspected or dead, so that no other owner can be
+  // hidden.
   bool is_complete = false;
 };
 
@@ -112,39 +115,40 @@
                           const limit_request& request,
                           base::time_point now);
 
-// Returns the tokens of a request that was granted and will never run.
+// Releases the tokens of a request that was granted but will never run.
 void Release(limiter_state& limiter, double cost);
 
-// What one host may go on with while a limit's owner does not answer. Changed
-// only by the functions below.
+// Allowance with which one host continues while the owner of a limit does not
+// respond. Modified only by the functions below.
 struct limit_allowance {
-  // What it was given a second, lately.
+  // Tokens per second granted recently.
   double rate = 0;
   base::time_point updated;
   request_interval requests;
-  // When the owner last refused a request of this host.
+  // Time at which the owner last refused a request of this host.
   std::optional<base::time_point> last_exceeded;
-  // While the owner does not answer: what is remaining of the allowance, up to
-  // when it has refilled, and until when it does.
+  // While the owner does not respond: the remaining allowance, the time of its
+  // last refill, and the time until which it is refilled.
   std::optional<double> remaining;
   base::time_point refilled;
   base::time_point refill_until;
 };
 
-// Counts a request of the workspace at this host.
+// Records a request of the workspace at this host.
 void NoteRequest(limit_allowance& allowance, base::time_point now);
 
-// The rate that a host states to an owner, in tokens a second.
+// The rate that a host reports to an owner, in tokens per second.
 double TypicalRate(const limit_allowance& allowance, base::time_point now);
 
-// The owner has refused a request beyond the limit.
+// Records that the owner refused a request beyond the limit.
 void NoteExceeded(limit_allowance& allowance, base::time_point now);
 
-// The owner has granted a request.
+// Records that the owner granted a request.
 void NoteGranted(limit_allowance& allowance, double cost, base::time_point now);
 
-// The owner does not answer: whether the request may be sent all the same.
-// `chance`, drawn evenly from 0 to 1, decides what is remaining of one request.
+// Returns whether a request may be sent although the owner does not respond.
+// `chance`, drawn uniformly from 0 to 1, decides when less than one request of
+// the allowance remains.
 bool TryAcquireWithoutOwner(limit_allowance& allowance,
                             double cost,
                             double chance,
--- a/tests/auto/decisions/limit_figures.cc
+++ b/tests/auto/decisions/limit_figures.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Ways to keep a limit over many hosts, compared in virtual time: a table for
-// docs/design/SHIFTED-WORK.md.
+// Compares strategies for a limit across many hosts in simulated time. Prints a
+// table for docs/design/SHIFTED-WORK.md.
 #include <cstdio>
 #include <string>
 #include <vector>
@@ -22,7 +22,7 @@
     case limit_fault::kNone:
       return "none";
     case limit_fault::kThirdPartitioned:
-      return "a third cut off";
+      return "a third partitioned";
     case limit_fault::kOwnerKilled:
       return "owner killed";
     case limit_fault::kOwnerFrozen:
@@ -37,20 +37,21 @@
 
 int main() {
   const std::vector<strategy> strategies = {
-      {"equal parts", SimulateEqualShares},
-      {"counts told, 1 s",
+      {"equal shares", SimulateEqualShares},
+      {"counts exchanged, 1 s",
        [](const limit_scenario& scenario) {
          return SimulateCountExchange(scenario, 1.0);
        }},
-      {"counts told, 0.25 s",
+      {"counts exchanged, 0.25 s",
        [](const limit_scenario& scenario) {
          return SimulateCountExchange(scenario, 0.25);
        }},
       {"an owner", SimulateOwner},
   };
   std::puts(
-      "| hosts | rate | trouble | way | worst window | used when hot | "
-      "refused below | messages a request |");
+      "| hosts | rate | fault | strategy | worst window | "
+      "used when overloaded | refused below the limit | "
+      "messages per request |");
   std::puts("| --- | --- | --- | --- | --- | --- | --- | --- |");
   for (const int hosts : {69, 300}) {
     for (const double rate : {5000.0, 300'000.0}) {
--- a/tests/auto/decisions/limit_fleet.h
+++ b/tests/auto/decisions/limit_fleet.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A limit over many hosts that lose sight of each other, played in virtual
-// time: each side of a partition finds an owner of its own after a while.
+// Simulates a limit across many hosts during network partitions: each side of a
+// partition chooses an owner of its own after a while.
 #ifndef VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_FLEET_H_
 #define VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_FLEET_H_
 
@@ -19,25 +19,27 @@
 
 namespace valeledge::test {
 
-// From `begin` to `end`, a part of the hosts is partition off from the others.
+// From `begin` to `end`, a fraction of the hosts is partitioned from the
+// others.
 struct fleet_partition {
   double begin = 0;
   double end = 0;
   double share = 0.3;
-  // Whether the owner is among those that are partition off.
+  // Whether the owner is among the partitioned hosts.
   bool takes_owner = false;
-  // Whether those that are partition off do not reach each other either.
+  // Whether the partitioned hosts cannot reach each other either.
   bool isolates_hosts = false;
 };
 
-// From `begin` to `end`, the owner's process is frozen: it answers nothing,
-// does not notice that time passes, and then takes up what has come meanwhile.
+// From `begin` to `end`, the owner's process is frozen: it does not respond and
+// does not notice that time passes, and afterwards processes the requests that
+// have arrived meanwhile.
 struct owner_freeze {
   double begin = 0;
   double end = 0;
 };
 
-// One workspace from 0 to 34 s, overload from 6 to 30 s.
+// One workspace from 0 to 34 s, overloaded from 6 to 30 s.
 struct limit_fleet_scenario {
   int hosts = 69;
   catalog::workspace_limit limit;
@@ -46,32 +48,33 @@
   double tokens = 1500;
   std::vector<fleet_partition> partitions;
   std::vector<owner_freeze> freezes;
-  // When the limit falls to a tenth, if ever.
+  // Time at which the limit falls to a tenth, if ever.
   std::optional<double> lowered_at;
-  // When all hosts start again, if ever.
+  // Time at which all hosts restart, if ever.
   std::optional<double> restarted_at;
   std::uint64_t seed = 42001;
 };
 
 struct limit_fleet_outcome {
-  // Most tokens in 8 s, as a part of what operators allow.
+  // Maximum tokens in 8 s, as a fraction of what operators allow.
   double worst_overrun = 0;
-  // Of the rate, while the workspace is overload and nothing is partition.
+  // Fraction of the rate used while the workspace is overloaded and before any
+  // fault.
   double used_before_faults = 0;
-  // Of the requests of hosts that are partition off, those that were let
-  // through, as a part of the rate that falls to these hosts.
+  // Tokens granted to partitioned hosts, as a fraction of the rate that falls
+  // to these hosts.
   double used_in_partition = 0;
 };
 
 namespace detail {
 
-// Another host is doubted, and dead, so long after it was partition off; it is
-// visible again so long after the partition has healed.
+// Seconds after a partition begins until a host is suspected and considered
+// dead, and seconds after it ends until the host is visible again.
 inline constexpr double kSuspectedAfter = 0.8;
 inline constexpr double kDeadAfter = 3.2;
 inline constexpr double kVisibleAfter = 0.5;
 inline constexpr double kFleetStep = 0.002;
-// Owners look so often whether they are still chosen.
+// Interval in seconds at which hosts check whether they own the limit.
 inline constexpr double kOwnerUpdateInterval = 0.25;
 
 inline base::time_point FleetTime(double seconds) {
@@ -86,7 +89,7 @@
       : scenario_(scenario),
         random_(scenario.seed),
         hosts_(static_cast<std::size_t>(scenario.hosts)) {
-    // Host 0 owns the limit; the next ones do when it is not there.
+    // Host 0 owns the limit; if it is not visible, the next visible host does.
     for (const fleet_partition& partition : scenario.partitions) {
       std::vector<std::size_t> side(hosts_.size(), 0);
       const auto count =
@@ -144,7 +147,7 @@
     std::optional<decisions::limiter_state> limiter;
   };
 
-  // Whether two hosts reach each other now, and since when they do not.
+  // Time since which two hosts cannot reach each other; nullopt if they can.
   std::optional<double> PartitionedSince(std::size_t a,
                                          std::size_t b,
                                          double now) const {
@@ -169,8 +172,8 @@
                                });
   }
 
-  // For how long a host has not visible another, as it notices it; negative
-  // while it sees it.
+  // Seconds for which a host has found another one unreachable; negative while
+  // it is visible.
   double UnreachableFor(std::size_t from, std::size_t other, double now) const {
     double unreachable_for = -1;
     for (std::size_t i = 0; i < sides_.size(); ++i) {
@@ -302,7 +305,8 @@
     }
     if (!granted)
       return;
-    // What was sent before a limit is lowered counts by the limit of then.
+    // Requests granted before the limit was lowered count against the previous
+    // limit.
     granted_.emplace_back(now, scenario_.tokens);
     granted_in_window_ += scenario_.tokens;
     while (granted_.front().first < now - 8) {
@@ -325,7 +329,7 @@
   limit_fleet_outcome out_;
   std::deque<std::pair<double, double>> granted_;
   double granted_in_window_ = 0;
-  // Requests that came to a frozen owner.
+  // Requests that arrived at a frozen owner.
   int delayed_ = 0;
   double next_owner_update_ = 0;
   bool restarted_ = false;
--- a/tests/auto/decisions/limit_simulation.h
+++ b/tests/auto/decisions/limit_simulation.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Ways to keep a limit over many hosts, played in virtual time: requests come
-// to hosts at random, messages take their time, and hosts get into fault.
+// Simulates strategies for a limit across many hosts: requests reach hosts at
+// random, and a fault is injected.
 #ifndef VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_SIMULATION_H_
 #define VALELEDGE_TESTS_AUTO_DECISIONS_LIMIT_SIMULATION_H_
 
@@ -19,23 +19,24 @@
 
 enum class limit_fault {
   kNone,
-  // A third of the hosts hear nobody, and nobody hears them.
+  // A third of the hosts can neither send to nor receive from any other host.
   kThirdPartitioned,
-  // The owner ends; the next is owner_found_after two seconds later.
+  // The owner is killed; the next one is found after two seconds.
   kOwnerKilled,
-  // The owner answers nobody for 7 s, then goes on; doubted after 1.5 s.
+  // The owner does not respond for 7 s and then resumes; it is suspected after
+  // 1.5 s.
   kOwnerFrozen,
-  // All hosts end, and remember nothing; an owner is owner_found_after after a
-  // second.
+  // All hosts restart without state; an owner is found after a second.
   kAllHostsRestarted,
 };
 
-// One workspace from 0 to 30 s, overload from 10 to 22 s; fault comes at 14 s.
+// One workspace from 0 to 30 s, overloaded from 10 to 22 s; the fault occurs at
+// 14 s.
 struct limit_scenario {
   int hosts = 69;
   catalog::workspace_limit limit;
-  // Part of its rate that the workspace usually asks for, and what it asks for
-  // times that while it is overload.
+  // Fraction of the limit that the workspace typically requests, and the factor
+  // by which this rises during the overload.
   double typical_load = 0.45;
   double overload = 7.5;
   double tokens = 1500;
@@ -44,15 +45,15 @@
 };
 
 struct limit_outcome {
-  // Most tokens in 8 s, as a part of what operators allow: the limit with a
-  // tenth more, and 11,000.
+  // Maximum tokens in 8 s, as a fraction of what operators allow: the limit
+  // plus a tenth, plus 11,000 tokens.
   double worst_overrun = 0;
-  // Of the rate, while the workspace asks for more, in the last 4 s of it.
+  // Fraction of the rate used in the last 4 s of the overload.
   double used_when_overloaded = 0;
-  // Of the requests that one bucket for all would have let through, before the
-  // workspace is overload and three seconds after.
+  // Fraction refused of the requests that a single bucket for all hosts would
+  // have granted, before the overload and from three seconds after it.
   double refused_below_limit = 0;
-  // Messages between hosts for each request.
+  // Messages between hosts per request.
   double messages = 0;
 };
 
@@ -70,7 +71,7 @@
              std::chrono::duration<double>(3600 + seconds));
 }
 
-// Counts what a way lets through.
+// Evaluates what a strategy grants.
 class limit_scorer {
  public:
   explicit limit_scorer(const limit_scenario& scenario) : scenario_(scenario) {
@@ -84,7 +85,7 @@
     const bool is_overloaded = now >= kOverloadBegin && now < kOverloadEnd;
     const bool is_faulty =
         scenario_.fault != limit_fault::kNone && now >= kFaultAt;
-    // After it was overload its callers are done only a little later.
+    // Callers of the overload finish only some time after its end.
     const bool is_below_limit =
         !is_overloaded && !is_faulty && (now < kOverloadBegin || now > 25);
     decisions::Refill(exact_bucket_, At(now));
@@ -121,7 +122,7 @@
  private:
   const limit_scenario& scenario_;
   limit_outcome out_;
-  // What one bucket for all hosts would have left.
+  // The level of a single bucket for all hosts.
   decisions::token_bucket exact_bucket_;
   std::deque<std::pair<double, double>> granted_;
   double granted_in_window_ = 0;
@@ -130,8 +131,8 @@
   double overload_granted_ = 0;
 };
 
-// Calls `try_acquire` (host, time) for each request of a scenario; true if it
-// is granted.
+// Calls `try_acquire` (host, time) for each request of a scenario; it returns
+// true if the request is granted.
 template <typename client, typename stepper>
 limit_outcome SimulateScenario(const limit_scenario& scenario,
                                const client& try_acquire,
@@ -165,7 +166,7 @@
 
 }  // namespace detail
 
-// One owner for the limit, asked for each request.
+// One owner of the limit receives each request.
 inline limit_outcome SimulateOwner(const limit_scenario& scenario) {
   using decisions::limit_allowance;
   using decisions::limit_verdict;
@@ -176,7 +177,7 @@
   std::vector<limit_allowance> allowances(
       static_cast<std::size_t>(scenario.hosts));
   double messages = 0;
-  // The owner before the fault, and the one after it.
+  // The owner before the fault, and the owner after it.
   limiter_state first = decisions::MakeLimiter(scenario.limit, true, At(0));
   std::optional<limiter_state> second;
   const double owner_found_after =
@@ -201,8 +202,8 @@
     decisions::NoteRequest(allowance, At(now));
     limiter_state* owner = &first;
     const bool is_owner_gone = is_owner_lost && now >= detail::kFaultAt;
-    // A tenth of the hosts still try_acquire the one that was frozen once it is
-    // is_old_owner_used.
+    // A tenth of the hosts still use the owner that was frozen, once it has
+    // resumed.
     const bool is_old_owner_used =
         scenario.fault == limit_fault::kOwnerFrozen &&
         now >= detail::kFaultAt + 7 && now < detail::kFaultAt + 8 &&
@@ -233,7 +234,7 @@
   return detail::SimulateScenario(scenario, try_acquire, step, messages);
 }
 
-// Each host has an equal part of the limit for itself.
+// Each host has an equal share of the limit.
 inline limit_outcome SimulateEqualShares(const limit_scenario& scenario) {
   const auto hosts = static_cast<double>(scenario.hosts);
   std::vector<decisions::token_bucket> buckets(
@@ -252,8 +253,9 @@
       [](double) {}, messages);
 }
 
-// Hosts tell each other what they have let through, each all others in
-// `exchange_interval` seconds; each keeps the whole bucket as far as it knows.
+// Every `exchange_interval` seconds, each host sends the tokens that it has
+// granted to all others; each keeps a bucket for the whole limit from the
+// counts it has received.
 inline limit_outcome SimulateCountExchange(const limit_scenario& scenario,
                                            double exchange_interval) {
   struct host_view {
--- a/tests/auto/decisions/retry_schedule_figures.cc
+++ b/tests/auto/decisions/retry_schedule_figures.cc
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Compares ways to tell refused callers when to come back, in virtual time:
-// a cell that serves ten requests a second gets 300 at once; refused callers
-// return when they were told. Prints, for each name and seed, how often callers
-// were refused, the most that came in one second after the first, and the time
-// until all were served. Not a test; docs/design/COME-BACK.md uses it.
+// Compares retry-after rules in simulated time: a cell that serves ten requests
+// per second receives 300 at once, and refused callers retry after the delay
+// they were given. Prints for each rule and seed how often callers were
+// refused, the maximum number that arrived in one second after the first, and
+// the time until all were served. Not a test; docs/design/COME-BACK.md uses the
+// results.
 #include <algorithm>
 #include <cstdio>
 #include <deque>
@@ -31,7 +32,7 @@
   int refusals = 0;
   int max_per_second = 0;
   double seconds_until_served = 0;
-  // Seconds in which the server had nothing to do before the end.
+  // Seconds in which the server was idle before all were served.
   double idle = 0;
 };
 
@@ -105,7 +106,7 @@
           std::uniform_int_distribution<std::int64_t>(1, 30000)(random));
     };
   });
-  Print("reserved place", [] {
+  Print("reserved slot", [] {
     return [schedule = decisions::retry_schedule()](base::time_point now,
                                                     std::int64_t backlog,
                                                     std::mt19937_64&) mutable {
--- a/tests/auto/decisions/retry_simulation.h
+++ b/tests/auto/decisions/retry_simulation.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Retry budgets of many hosts, played in virtual time: callers send requests,
-// attempts fail, and hosts start again, lose sight of each other, or stop.
+// Simulates the retry budgets of many hosts: callers send requests, attempts
+// fail, and hosts restart or become unavailable.
 #ifndef VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_SIMULATION_H_
 #define VALELEDGE_TESTS_AUTO_DECISIONS_RETRY_SIMULATION_H_
 
@@ -15,32 +15,32 @@
 
 namespace valeledge::test {
 
-// One process of a host; gone with its budget when the host starts again.
+// One process of a host. Its budget is lost when the host restarts.
 struct retry_process {
   decisions::shared_retry_budget budget;
 };
 
-// A scenario of `seconds` in steps of 10 ms.
+// A simulation of `seconds` in steps of 10 ms.
 struct retry_scenario {
   int hosts = 7;
   double slack = 54;
   double seconds = 40;
-  // Requests a second of all callers together.
+  // Requests per second of all callers together.
   std::function<double(double now)> rate = [](double) { return 104.0; };
-  // Whether a host takes requests; its callers go to others meanwhile.
+  // Whether a host accepts requests; otherwise its callers use other hosts.
   std::function<bool(int host, double now)> is_up = [](int, double) {
     return true;
   };
-  // When hosts are killed; they are back at once.
+  // Times at which hosts are killed; they restart immediately.
   std::vector<std::pair<double, int>> kills;
-  // The part of attempts that fail.
+  // Fraction of attempts that fail.
   std::function<double(double now)> failure_ratio = [](double) { return 1.0; };
   std::uint64_t seed = 40001;
 };
 
 struct retry_outcome {
-  // Most retries in 10 s beyond what is allowed for all hosts; negative while
-  // there is room.
+  // Maximum retries in 10 s in excess of the allowance for all hosts; negative
+  // while below it.
   double worst_excess = -1e9;
   double requests = 0;
   double wanted = 0;
@@ -52,7 +52,7 @@
 inline constexpr double kStep = 0.01;
 inline constexpr std::size_t kWindowSteps = 1000;
 inline constexpr double kRatio = 0.2;
-// Attempts of one request.
+// Maximum number of attempts for one request.
 inline constexpr int kMaxAttempts = 4;
 
 inline base::time_point At(double seconds) {
@@ -69,8 +69,9 @@
   return process;
 }
 
-// Compares each window of 10 s with the requests of it, of the one before it
-// and of the one half a window before it, whichever has max_requests.
+// Compares the retries of each 10 s window with the requests of that window, of
+// the previous one, or of the one half a window earlier, whichever has the most
+// requests.
 inline double WorstExcess(const std::vector<double>& requests,
                           const std::vector<double>& retries,
                           double slack) {
--- a/tests/auto/decisions/test_admission.cc
+++ b/tests/auto/decisions/test_admission.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Shares, limits, priorities and deadlines of one cell, in virtual time.
+// Shares, limits, priorities and deadlines of one cell, in simulated time.
 #include <algorithm>
 #include <deque>
 
@@ -14,8 +14,8 @@
 using namespace std::chrono_literals;
 using base::result_code;
 
-// A cell with one server, driven in steps of a millisecond. Every request
-// takes 10 ms and 10 tokens.
+// A cell with one server that advances in steps of 1 ms. Every request takes 10
+// ms and 10 tokens.
 class simulated_cell {
  public:
   explicit simulated_cell(std::int64_t slots) {
@@ -74,7 +74,7 @@
   SetWeight(cell.cell_, "big", 3);
   SetWeight(cell.cell_, "small", 1);
   for (int i = 0; i < 20'000; ++i) {
-    // The small partner asks five times as often.
+    // The small partner sends five times as many requests.
     cell.Request("big", 200ms);
     for (int j = 0; j < 5; ++j)
       cell.Request("small", 200ms);
@@ -84,7 +84,7 @@
   const double total_done = big_done + static_cast<double>(cell.done_["small"]);
   BOOST_TEST(big_done / total_done > 0.75 - 0.03);
   BOOST_TEST(big_done / total_done < 0.75 + 0.03);
-  // Work-conserving: total_done slots were used total_done the time.
+  // Work-conserving: all slots were in use throughout.
   BOOST_TEST(total_done > 0.98 * 20'000 / 10 * 4);
 }
 
@@ -122,7 +122,7 @@
 
 BOOST_AUTO_TEST_CASE(a_request_that_cannot_start_in_time_is_refused_at_once) {
   simulated_cell cell(1);
-  // Lets the rate become known: one request in 10 ms.
+  // Establishes the service rate: one request per 10 ms.
   for (int i = 0; i < 3000; ++i) {
     if (i % 10 == 0)
       cell.Request("a", 1s);
@@ -137,7 +137,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_burst_into_an_idle_cell_is_not_refused) {
-  // Found by outage.scn: the rate of a quiet cell was taken for its capacity.
+  // Guards against taking the throughput of an idle cell for its capacity, as
+  // outage.scn showed.
   simulated_cell cell(4);
   for (int i = 0; i < 3000; ++i) {
     if (i % 500 == 0)
@@ -174,7 +175,7 @@
     last = refused ? refused : last;
     cell.Step();
   }
-  // A second's burst, then ten a second for three seconds.
+  // The burst of one second, then ten requests per second for three seconds.
   BOOST_TEST(accepted >= 38);
   BOOST_TEST(accepted <= 41);
   BOOST_TEST((last->code == result_code::kPartnerLimit));
--- a/tests/auto/decisions/test_advertised_limit.cc
+++ b/tests/auto/decisions/test_advertised_limit.cc
@@ -36,7 +36,8 @@
   BOOST_TEST(!known.limit.has_value());
 }
 
-// The head of a long stream, or a delayed response, is older than it looks.
+// The head of a long stream, or a delayed response, may be older than its
+// receive time suggests.
 BOOST_AUTO_TEST_CASE(a_delayed_response_neither_raises_nor_withdraws) {
   limit_view known;
   Observe(known, Response(1, 10ms, 15ms));
--- a/tests/auto/decisions/test_fleet_retries.cc
+++ b/tests/auto/decisions/test_fleet_retries.cc
@@ -13,8 +13,8 @@
 using valeledge::test::retry_scenario;
 using valeledge::test::SimulateRetries;
 
-// Most hosts that a deployment has, what all may send beyond the ratio, and
-// the requests a second.
+// Maximum number of hosts in a deployment, retries that all hosts may send
+// beyond the ratio, and requests per second.
 struct deployment {
   int hosts;
   double slack;
@@ -47,7 +47,7 @@
 BOOST_AUTO_TEST_CASE(without_faults) {
   for (const auto& each : kDeployments) {
     const auto out = SimulateRetries(ScenarioFor(each));
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
@@ -55,11 +55,11 @@
 BOOST_AUTO_TEST_CASE(when_all_hosts_are_killed_in_series) {
   for (const auto& each : kDeployments) {
     retry_scenario scenario = ScenarioFor(each);
-    // Attempts begin to fail shortly before.
+    // Attempts start to fail shortly before the kills.
     scenario.failure_ratio = [](double now) { return now > 16 ? 1.0 : 0.0; };
     KillAll(scenario, {19, 22, 25});
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
@@ -70,7 +70,7 @@
     scenario.failure_ratio = [](double now) { return now > 16 ? 1.0 : 0.0; };
     KillAll(scenario, {17, 18, 19, 20, 21, 22, 23, 24});
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
@@ -84,7 +84,7 @@
     };
     KillAll(scenario, {19, 24});
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
@@ -100,13 +100,13 @@
     };
     KillAll(scenario, {16, 22});
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
 
-// Each host stops for 6 s and takes no more requests after 2.7 s; one
-// stop_begins in each part of 7 s.
+// Each host is replaced once, spread over 7 s: it rejects new requests 2.7 s
+// after its replacement begins, and the new process starts after 6 s.
 BOOST_AUTO_TEST_CASE(when_hosts_are_replaced_in_turn) {
   for (const auto& each : kDeployments) {
     retry_scenario scenario = ScenarioFor(each);
@@ -120,12 +120,12 @@
     for (int host = 0; host < each.hosts; ++host)
       scenario.kills.emplace_back(stop_begins(host) + 6, host);
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
 
-// All callers are at a third of the hosts, and go to the next third.
+// All callers use one third of the hosts and then move to the next third.
 BOOST_AUTO_TEST_CASE(when_callers_move_to_other_hosts) {
   for (const auto& each : kDeployments) {
     retry_scenario scenario = ScenarioFor(each);
@@ -134,7 +134,7 @@
       return now < 20 ? host % 3 == 0 : host % 3 == 1;
     };
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
@@ -148,7 +148,7 @@
     scenario.failure_ratio = [](double now) { return now > 19.9 ? 1.0 : 0.0; };
     KillAll(scenario, {20.5, 24});
     const auto out = SimulateRetries(scenario);
-    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " a second")
+    BOOST_TEST_CONTEXT(each.hosts << " hosts, " << each.rate << " per second")
     BOOST_TEST(out.worst_excess <= 0);
   }
 }
--- a/tests/auto/decisions/test_limit_fleet.cc
+++ b/tests/auto/decisions/test_limit_fleet.cc
@@ -30,11 +30,11 @@
       if (change)
         change(scenario);
       const auto out = SimulateLimitFleet(scenario);
-      BOOST_TEST_MESSAGE(hosts << " hosts, " << rate << " a second: overrun "
-                               << out.worst_overrun << ", calm "
-                               << out.used_before_faults << ", cut "
+      BOOST_TEST_MESSAGE(hosts << " hosts, " << rate << " per second: overrun "
+                               << out.worst_overrun << ", before faults "
+                               << out.used_before_faults << ", in partition "
                                << out.used_in_partition);
-      BOOST_TEST_CONTEXT(hosts << " hosts, " << rate << " a second") {
+      BOOST_TEST_CONTEXT(hosts << " hosts, " << rate << " per second") {
         BOOST_TEST(out.worst_overrun <= 1);
         BOOST_TEST(out.used_before_faults >= 0.97);
       }
@@ -99,7 +99,7 @@
            [](limit_fleet_scenario& scenario) { scenario.overload = 6; });
 }
 
-// Callers of a workspace that is below its limit keep most of it in a cut.
+// A workspace below its limit keeps most of its throughput during a partition.
 BOOST_AUTO_TEST_CASE(and_a_workspace_below_its_limit_is_served_on_both_sides) {
   for (const int hosts : {7, 69, 300}) {
     limit_fleet_scenario scenario = ScenarioFor(hosts, 177'000);
--- a/tests/auto/decisions/test_retry.cc
+++ b/tests/auto/decisions/test_retry.cc
@@ -34,7 +34,7 @@
   int retries = 0;
   for (int i = 0; i < 10'000; ++i) {
     EarnRetry(budget);
-    // Everything fails, as often as it may.
+    // Every attempt fails, and the request is retried as often as allowed.
     for (int attempt = 1; attempt < kMaxAttempts; ++attempt) {
       const auto verdict =
           DecideRetry({outcome::kNotRun, true, attempt, 1s}, budget);
--- a/tests/auto/decisions/test_retry_schedule.cc
+++ b/tests/auto/decisions/test_retry_schedule.cc
@@ -12,7 +12,7 @@
 using namespace valeledge::decisions;
 using namespace std::chrono_literals;
 
-// Requests refused together, by the window in which they are told to return.
+// Number of requests refused at the same time, by the window of their retry.
 std::map<std::int64_t, int> Returns(int refused, std::int64_t per_window) {
   retry_schedule schedule;
   const base::time_point now(100s);
--- a/tests/auto/decisions/test_server_limiter.cc
+++ b/tests/auto/decisions/test_server_limiter.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What all hosts together send to a server that advertises a limit, in virtual
-// time.
+// Requests that all hosts together send to a server that advertises a limit, in
+// simulated time.
 #include "decisions/server_limiter.h"
 
 #include <algorithm>
@@ -22,20 +22,20 @@
 const base::time_point kStart = base::time_point() + 1h;
 constexpr milliseconds kSpan = 60s;
 constexpr milliseconds kStep = 10ms;
-// A host that gets no reply, or one that grants nothing, asks again.
+// Delay before a host without a reply, or without a lease holder, retries.
 constexpr milliseconds kNoLeaseHolderPause = 250ms;
-// What a permit takes to a host and its request to the server, at the
-// max_count.
+// Maximum time for a permit to reach a host and for the request to reach the
+// server.
 constexpr milliseconds kMaxDelay = 550ms;
 constexpr std::int64_t kPriority = 1;
 
-// One host that always has a request for the server.
+// A host that always has a request for the server.
 struct host {
   base::time_point next_request = kStart;
   base::time_point partitioned_until = kStart;
 };
 
-// A host that may grant permits, as it believes.
+// A host that assumes it may grant permits.
 struct lease_holder {
   server_limiter limiter;
   base::time_point from;
@@ -44,16 +44,16 @@
 
 enum class fault {
   kNone,
-  // The lease_holder is replaced: by another host after the lease has lapsed,
-  // or by a new process of the same host at once.
+  // The lease holder is replaced: by another host after the lease has expired,
+  // or by a new process of the same host immediately.
   kLeaseHolderLost,
   kLeaseHolderRestarts,
-  // The lease_holder is frozen beyond its lease, and goes on when another has
-  // it.
+  // The lease holder is frozen beyond its lease and resumes when another host
+  // has it.
   kLeaseHolderFrozen,
-  // A half of the hosts cannot reach the lease_holder for some seconds.
+  // Half of the hosts cannot reach the lease holder for some seconds.
   kHalfPartitioned,
-  // Hosts that know nothing appear all the time in the place of others.
+  // New hosts without any state continually replace others.
   kHostsRestart,
 };
 
@@ -64,8 +64,7 @@
                              fault::kHalfPartitioned,
                              fault::kHostsRestart};
 
-// The terms of all lease_holders, none of injected overlap: the lease sees to
-// that.
+// The terms of all lease holders. The lease ensures that none overlap.
 std::vector<lease_holder> LeaseHolders(fault injected, double rate) {
   std::vector<lease_holder> out;
   const milliseconds term = injected == fault::kNone ? kSpan : milliseconds(5s);
@@ -108,7 +107,7 @@
   }
 }
 
-// All moments at injected the server gets a request.
+// All times at which the server receives a request.
 std::vector<base::time_point> Simulate(std::int64_t hosts,
                                        double rate,
                                        fault injected,
@@ -150,7 +149,7 @@
 
 BOOST_AUTO_TEST_SUITE(server_limiters)
 
-// The users' rule for any 4 s: one and a half times the limit and 5 requests.
+// The users' bound for any 4 s: 1.5 times the limit plus 5 requests.
 BOOST_AUTO_TEST_CASE(
     a_servers_limit_is_not_overrun_by_all_hosts_under_any_fault) {
   for (const std::int64_t hosts : {8, 69, 985}) {
@@ -158,7 +157,7 @@
       const auto allowed = static_cast<std::int64_t>(1.5 * 4 * rate + 5);
       for (const fault injected : kFaults) {
         const auto arrivals = Simulate(hosts, rate, injected, 11);
-        BOOST_TEST_CONTEXT(hosts << " hosts, limit " << rate << ", trouble "
+        BOOST_TEST_CONTEXT(hosts << " hosts, limit " << rate << ", fault "
                                  << static_cast<int>(injected))
         BOOST_TEST(MaxInWindow(arrivals, 4s) <= allowed);
       }
@@ -177,7 +176,7 @@
   }
 }
 
-// Hosts that are refused do not all ask again at once.
+// Refused hosts do not all retry at once.
 BOOST_AUTO_TEST_CASE(refused_hosts_retry_a_bounded_number_of_times) {
   for (const std::int64_t hosts : {8, 69, 985}) {
     server_limiter limiter = MakeServerLimiter(1, kStart);
--- a/tests/auto/decisions/test_shared_retry_budget.cc
+++ b/tests/auto/decisions/test_shared_retry_budget.cc
@@ -85,7 +85,7 @@
   BOOST_TEST(AcquireAll(budget, time_point(60s)) == 0);
 }
 
-// What callers get of a budget that is always wanted.
+// Retries granted when every attempt fails.
 BOOST_AUTO_TEST_CASE(three_quarters_of_the_ratio_are_used) {
   for (const int hosts : {7, 69, 300}) {
     retry_scenario scenario;
@@ -97,8 +97,8 @@
   }
 }
 
-// Failures within the ratio get their retries, also where each host has only a
-// few requests a second.
+// Failures within the ratio are retried, even if each host has only a few
+// requests per second.
 BOOST_AUTO_TEST_CASE(occasional_failures_are_retried) {
   for (const int hosts : {7, 69, 300}) {
     retry_scenario scenario;
--- a/tests/auto/decisions/test_workspace_limit.cc
+++ b/tests/auto/decisions/test_workspace_limit.cc
@@ -24,7 +24,8 @@
   return out;
 }
 
-// One host asks an owner that has just started and sees a part of the others.
+// A host requests tokens from an owner that has just started and sees a
+// fraction of the hosts.
 limit_decision AcquireFromNewOwner(limiter_state& limiter,
                                    const catalog::workspace_limit& limit,
                                    double visible_fraction,
@@ -40,7 +41,7 @@
   catalog::workspace_limit limit = Limit(100, 100);
   BOOST_TEST(RequestCost(limit, 1540) == 1540);
   BOOST_TEST(RequestCost(limit, {}) == 200);
-  // No caller adds to its limit.
+  // A negative token count does not add to the limit.
   BOOST_TEST(RequestCost(limit, -5000) == 0);
   limit.unit = catalog::limit_unit::kRequests;
   BOOST_TEST(RequestCost(limit, 1540) == 1);
@@ -58,7 +59,7 @@
         limit_verdict::kGranted)
       granted += 50;
   }
-  // What it began with, and the rate since.
+  // The initial level, and the rate since.
   BOOST_TEST(granted <= 200 + 1000 * 10);
   BOOST_TEST(granted >= 200 + 1000 * 9.9);
 }
@@ -145,7 +146,7 @@
   double granted = 0;
   for (auto now = 10s + 0ms; now < 20s; now += 1ms)
     granted += TryAcquireWithoutOwner(allowance, 10, 1, kStart + now) ? 10 : 0;
-  // It was granted 1,000 a second.
+  // The host was granted 1,000 tokens per second.
   BOOST_TEST(granted >= 1900);
   BOOST_TEST(granted <= 2100);
 }
@@ -157,7 +158,7 @@
     NoteRequest(allowance, kStart + now);
     NoteGranted(allowance, 500, kStart + now);
   }
-  // It has its whole rate while the limit is not short.
+  // The host reports its full rate while the limit is not exhausted.
   BOOST_TEST(TypicalRate(allowance, kStart + 10s) >= 800);
   NoteExceeded(allowance, kStart + 10s);
   BOOST_TEST(TypicalRate(allowance, kStart + 10s) <= 300);
@@ -168,8 +169,8 @@
   BOOST_TEST(granted <= 350);
 }
 
-// A new owner gives what the hosts that come to it were granted before, and no
-// more, until it knows which hosts are there.
+// Until membership has converged, a new owner grants its clients the rate that
+// they had before, and no more.
 BOOST_AUTO_TEST_CASE(a_new_owner_grants_the_previous_rate) {
   const auto limit = Limit(1000, 2000);
   limiter_state limiter = MakeLimiter(limit, false, kStart);
@@ -185,7 +186,7 @@
   BOOST_TEST(granted <= 1.1 * 300 * 3);
 }
 
-// Nobody is sent away for longer than it takes until more may be granted.
+// No retry-after delay exceeds the time until more may be granted.
 BOOST_AUTO_TEST_CASE(retries_wait_for_a_new_owner_no_longer_than_needed) {
   const auto limit = Limit(1000, 2000);
   limiter_state limiter = MakeLimiter(limit, false, kStart);
@@ -197,7 +198,7 @@
   }
 }
 
-// What a host was granted that has fallen silent is not granted to others.
+// The rate granted to a host that became unresponsive is not granted to others.
 BOOST_AUTO_TEST_CASE(the_rate_of_an_unresponsive_host_is_reserved) {
   const auto limit = Limit(1000, 1000);
   limiter_state limiter = MakeLimiter(limit, true, kStart);
@@ -214,7 +215,7 @@
   for (auto now = 10s + 500ms; now < 12s + 500ms; now += 5ms)
     granted += try_acquire("a", now) ? 10 : 0;
   BOOST_TEST(granted >= 800);
-  // With what came together in the pause before.
+  // Including the tokens accumulated during the preceding pause.
   BOOST_TEST(granted <= 1300);
   granted = 0;
   for (auto now = 16s + 0ms; now < 18s; now += 5ms)
@@ -222,8 +223,8 @@
   BOOST_TEST(granted >= 1900);
 }
 
-// A limit over 69 hosts, of which a workspace with a large and one with a small
-// limit try_acquire for 7.5 times their typical_load.
+// A limit across 69 hosts, once large and once small, of a workspace that
+// requests 7.5 times its typical load.
 BOOST_AUTO_TEST_CASE(an_overloaded_workspace_uses_its_limit_and_no_more) {
   for (const double rate : {5000.0, 300'000.0}) {
     limit_scenario scenario;
@@ -237,8 +238,8 @@
   }
 }
 
-// What must hold whatever happens to the owner and between the hosts: never
-// more than what operators allow in any window of 8 s.
+// Whatever happens to the owner or between the hosts, no window of 8 s exceeds
+// what operators allow.
 BOOST_AUTO_TEST_CASE(no_fault_overruns_a_limit) {
   for (const limit_fault fault :
        {limit_fault::kThirdPartitioned, limit_fault::kOwnerKilled,
