--- a/src/decisions/admission.cc
+++ b/src/decisions/admission.cc
@@ -12,7 +12,7 @@
 using base::result_code;
 using detail::partner_queue;
 
-// Weight of each new attempt in the mean of how long attempts take.
+// Weight of a new sample in the smoothed service time.
 constexpr double kServiceSmoothing = 0.1;
 
 std::int64_t UsableSlots(const cell_admission& cell) {
@@ -24,17 +24,18 @@
   return std::max<std::int64_t>(slots, 1);
 }
 
-// Requests a second that the cell can serve when all slots are in use. It is
-// not what it serves now: a quiet cell must not refuse a burst. Before any
-// attempt has ended, each slot is taken to serve one a second.
+// Requests per second that the cell can serve with all slots in use. The
+// current throughput does not serve as an estimate: an idle cell would refuse a
+// burst. Until an attempt has ended, each slot is assumed to serve one request
+// per second.
 double ServiceRate(const cell_admission& cell) {
   const auto slots = static_cast<double>(UsableSlots(cell));
-  const double each = cell.mean_service.count();
+  const double each = cell.mean_service_time.count();
   return each > 0 ? slots / each : slots;
 }
 
 std::int64_t ServedPerWindow(const cell_admission& cell) {
-  const std::chrono::duration<double> window = cell.plan.window;
+  const std::chrono::duration<double> window = cell.retries.window;
   return std::llround(ServiceRate(cell) * window.count());
 }
 
@@ -43,12 +44,12 @@
                        result_code code,
                        base::time_point now) {
   const auto wait =
-      TakePlace(cell.plan, now, ServedPerWindow(cell), cell.queued);
+      ReserveRetrySlot(cell.retries, now, ServedPerWindow(cell), cell.queued);
   return {ticket, code, wait};
 }
 
-// The wait for a bucket of a limit, if it refuses.
-std::optional<std::chrono::milliseconds> OverLimit(
+// Time until the limit admits `amount`; nullopt if it does so now.
+std::optional<std::chrono::milliseconds> LimitWait(
     std::map<std::string, token_bucket>& limits,
     const std::string& key,
     double amount,
@@ -57,7 +58,7 @@
   if (found == limits.end())
     return std::nullopt;
   Refill(found->second, now);
-  const auto wait = TimeUntil(found->second, amount);
+  const auto wait = TimeUntilAvailable(found->second, amount);
   if (wait.count() == 0)
     return std::nullopt;
   return std::chrono::ceil<std::chrono::milliseconds>(wait);
@@ -78,13 +79,13 @@
   for (const auto& [key, code] :
        {std::pair(partner, result_code::kPartnerLimit),
         std::pair(request.limit_key, result_code::kModelLimit)}) {
-    auto wait = OverLimit(cell.request_limits, key, 1, now);
+    auto wait = LimitWait(cell.request_limits, key, 1, now);
     if (!wait)
-      wait = OverLimit(cell.token_limits, key, request.tokens, now);
+      wait = LimitWait(cell.token_limits, key, request.tokens, now);
     if (wait) {
-      // Behind the limit's own wait, places are handed out one after another.
-      const auto place =
-          TakePlace(cell.plan, now, ServedPerWindow(cell), cell.queued);
+      // Retries after the limit's own wait are spread over the retry schedule.
+      const auto place = ReserveRetrySlot(cell.retries, now,
+                                          ServedPerWindow(cell), cell.queued);
       return refused_request{request.ticket, code, std::max(*wait, place)};
     }
   }
@@ -95,15 +96,16 @@
   return std::nullopt;
 }
 
-// Whether the requests already waiting make a start in time hopeless.
-bool StartsTooLate(const cell_admission& cell,
-                   const waiting_request& request,
-                   base::time_point now) {
+// Whether the request cannot start in time behind the requests that are already
+// queued.
+bool MissesLatestStart(const cell_admission& cell,
+                       const waiting_request& request,
+                       base::time_point now) {
   if (now >= request.latest_start)
     return true;
-  if (cell.mean_service.count() == 0 || cell.queued == 0)
+  if (cell.mean_service_time.count() == 0 || cell.queued == 0)
     return false;
-  // Its own partner's share of the rate works on what waits before it.
+  // The requests ahead of it are served at its own partner's share of the rate.
   double weights = 0;
   for (const auto& [name, queue] : cell.partners) {
     if (queue.queued > 0 || name == request.partner)
@@ -123,8 +125,8 @@
          request.latest_start;
 }
 
-// The first request of a partner, in the order of priorities, that some
-// server can take now.
+// The first request of a partner, in order of priority, that a server can take
+// now.
 struct candidate {
   std::int64_t priority = 0;
   std::size_t position = 0;
@@ -135,7 +137,8 @@
                                        const partner_queue& queue,
                                        std::mt19937_64& random) {
   for (const auto& [priority, waiting] : queue.waiting) {
-    // Requests for the same unit fail alike; each unit is tried once.
+    // If no server can take a request for a unit, none can take another one, so
+    // each unit is tried once.
     std::vector<unit_hash> tried;
     for (std::size_t i = 0; i < waiting.size(); ++i) {
       const waiting_request& request = waiting[i];
@@ -153,10 +156,10 @@
   return std::nullopt;
 }
 
-waiting_request TakeOut(cell_admission& cell,
-                        partner_queue& queue,
-                        std::int64_t priority,
-                        std::size_t position) {
+waiting_request RemoveWaiting(cell_admission& cell,
+                              partner_queue& queue,
+                              std::int64_t priority,
+                              std::size_t position) {
   auto& waiting = queue.waiting.at(priority);
   waiting_request request = std::move(waiting[position]);
   waiting.erase(waiting.begin() + static_cast<long>(position));
@@ -167,15 +170,16 @@
   return request;
 }
 
-// A partner that was idle starts level with the others: it may not save up.
-void StartLevel(cell_admission& cell, partner_queue& queue) {
+// Advances the virtual time of an idle partner to that of the cell, so that it
+// does not accumulate unused share.
+void SyncVirtualTime(cell_admission& cell, partner_queue& queue) {
   if (queue.queued == 0)
     queue.virtual_time = std::max(queue.virtual_time, cell.virtual_now);
 }
 
-void RefuseLate(cell_admission& cell,
-                base::time_point now,
-                dispatch_result& out) {
+void RefuseExpired(cell_admission& cell,
+                   base::time_point now,
+                   dispatch_result& out) {
   for (auto& [name, queue] : cell.partners) {
     std::vector<std::pair<std::int64_t, std::size_t>> late;
     for (const auto& [priority, waiting] : queue.waiting) {
@@ -185,14 +189,15 @@
       }
     }
     for (const auto& [priority, position] : late) {
-      const waiting_request gone = TakeOut(cell, queue, priority, position);
+      const waiting_request gone =
+          RemoveWaiting(cell, queue, priority, position);
       out.refused.push_back(
           Refuse(cell, gone.ticket, result_code::kDeadlineUnreachable, now));
     }
   }
 }
 
-// Requests whose last ready server has gone are refused, not kept.
+// Refuses queued requests whose last ready server is gone.
 void RefuseUnservable(cell_admission& cell,
                       base::time_point now,
                       dispatch_result& out) {
@@ -205,7 +210,8 @@
       }
     }
     for (const auto& [priority, position] : lost) {
-      const waiting_request gone = TakeOut(cell, queue, priority, position);
+      const waiting_request gone =
+          RemoveWaiting(cell, queue, priority, position);
       out.refused.push_back(
           Refuse(cell, gone.ticket, result_code::kNoBackendServer, now));
     }
@@ -229,7 +235,7 @@
   bucket.rate = static_cast<double>(rate) * share;
   bucket.burst = std::max(1.0, bucket.rate * burst.count());
   bucket.level = fresh ? bucket.burst : std::min(bucket.level, bucket.burst);
-  bucket.filled = now;
+  bucket.last_refill = now;
 }
 
 }  // namespace
@@ -257,14 +263,14 @@
     return Refuse(cell, request.ticket, result_code::kNoBackendServer, now);
   if (cell.queued >= cell.settings.queue_limit)
     return Refuse(cell, request.ticket, result_code::kOverloaded, now);
-  if (StartsTooLate(cell, request, now)) {
+  if (MissesLatestStart(cell, request, now)) {
     return Refuse(cell, request.ticket, result_code::kDeadlineUnreachable, now);
   }
   auto over = CheckLimits(cell, request, now);
   if (over)
     return over;
   partner_queue& queue = cell.partners[request.partner];
-  StartLevel(cell, queue);
+  SyncVirtualTime(cell, queue);
   ++queue.queued;
   ++cell.queued;
   const std::int64_t priority = request.priority;
@@ -276,7 +282,7 @@
                          base::time_point now,
                          std::mt19937_64& random) {
   dispatch_result out;
-  RefuseLate(cell, now, out);
+  RefuseExpired(cell, now, out);
   RefuseUnservable(cell, now, out);
   std::vector<partner_queue*> order;
   for (auto& [name, queue] : cell.partners) {
@@ -293,7 +299,7 @@
       continue;
     }
     waiting_request request =
-        TakeOut(cell, queue, found->priority, found->position);
+        RemoveWaiting(cell, queue, found->priority, found->position);
     cell.virtual_now = std::max(cell.virtual_now, queue.virtual_time);
     queue.virtual_time += request.tokens / queue.weight;
     server_view& server = cell.servers[found->server];
@@ -314,7 +320,7 @@
       if (found == waiting.end())
         continue;
       const auto position = static_cast<std::size_t>(found - waiting.begin());
-      TakeOut(cell, queue, priority, position);
+      RemoveWaiting(cell, queue, priority, position);
       return true;
     }
   }
@@ -332,10 +338,11 @@
   if (ended.took.count() == 0)
     return;
   const std::chrono::duration<double> took = ended.took;
-  if (cell.mean_service.count() == 0)
-    cell.mean_service = took;
+  if (cell.mean_service_time.count() == 0)
+    cell.mean_service_time = took;
   else
-    cell.mean_service += kServiceSmoothing * (took - cell.mean_service);
+    cell.mean_service_time +=
+        kServiceSmoothing * (took - cell.mean_service_time);
 }
 
 }  // namespace valeledge::decisions
