--- a/src/decisions/first_reading.h
+++ b/src/decisions/initial_read.h
@@ -7,8 +7,8 @@
 // made ten calls and took 1.4 MB. If those read that are chosen among the hosts
 // they know by then, and the others take copies, calls grow with availability
 // zones.
-#ifndef VALELEDGE_DECISIONS_FIRST_READING_H_
-#define VALELEDGE_DECISIONS_FIRST_READING_H_
+#ifndef VALELEDGE_DECISIONS_INITIAL_READ_H_
+#define VALELEDGE_DECISIONS_INITIAL_READ_H_
 
 #include <chrono>
 
@@ -37,4 +37,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_FIRST_READING_H_
+#endif  // VALELEDGE_DECISIONS_INITIAL_READ_H_
--- a/src/decisions/key_certainty.cc
+++ b/src/decisions/key_freshness.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/key_certainty.h"
+#include "decisions/key_freshness.h"
 
 #include <algorithm>
 
--- a/src/decisions/key_certainty.h
+++ b/src/decisions/key_freshness.h
@@ -8,8 +8,8 @@
 // which it asked for a reading of the store that was sent after it had asked,
 // by whomever, once it has everything up to the revision which that reading
 // found. Both moments are of its own clock.
-#ifndef VALELEDGE_DECISIONS_KEY_CERTAINTY_H_
-#define VALELEDGE_DECISIONS_KEY_CERTAINTY_H_
+#ifndef VALELEDGE_DECISIONS_KEY_FRESHNESS_H_
+#define VALELEDGE_DECISIONS_KEY_FRESHNESS_H_
 
 #include <chrono>
 #include <cstdint>
@@ -76,4 +76,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_KEY_CERTAINTY_H_
+#endif  // VALELEDGE_DECISIONS_KEY_FRESHNESS_H_
--- a/src/decisions/lease_turn.cc
+++ b/src/decisions/lease_delay.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/lease_turn.h"
+#include "decisions/lease_delay.h"
 
 #include <algorithm>
 
--- a/src/decisions/lease_turn.h
+++ b/src/decisions/lease_delay.h
@@ -4,8 +4,8 @@
 // each of 295 made four calls to the key-value service to find that another was
 // first, and a host with an eighth of a core on a link of 20 Mbit/s was as
 // likely to plan for 240 engines, and to tell 294 hosts, as the strongest.
-#ifndef VALELEDGE_DECISIONS_LEASE_TURN_H_
-#define VALELEDGE_DECISIONS_LEASE_TURN_H_
+#ifndef VALELEDGE_DECISIONS_LEASE_DELAY_H_
+#define VALELEDGE_DECISIONS_LEASE_DELAY_H_
 
 #include <chrono>
 
@@ -17,4 +17,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_LEASE_TURN_H_
+#endif  // VALELEDGE_DECISIONS_LEASE_DELAY_H_
--- a/src/decisions/quarantine_news.h
+++ b/src/decisions/quarantine_update.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // What processes tell each other of requests under which servers end.
-#ifndef VALELEDGE_DECISIONS_QUARANTINE_NEWS_H_
-#define VALELEDGE_DECISIONS_QUARANTINE_NEWS_H_
+#ifndef VALELEDGE_DECISIONS_QUARANTINE_UPDATE_H_
+#define VALELEDGE_DECISIONS_QUARANTINE_UPDATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -54,4 +54,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_QUARANTINE_NEWS_H_
+#endif  // VALELEDGE_DECISIONS_QUARANTINE_UPDATE_H_
--- a/src/decisions/reading_pace.h
+++ b/src/decisions/read_pacing.h
@@ -5,8 +5,8 @@
 // that is too long makes every one of them late. Prompts that arrive in clumps
 // are therefore spread over engines that have read less, also if each has
 // nothing left to read at the moment.
-#ifndef VALELEDGE_DECISIONS_READING_PACE_H_
-#define VALELEDGE_DECISIONS_READING_PACE_H_
+#ifndef VALELEDGE_DECISIONS_READ_PACING_H_
+#define VALELEDGE_DECISIONS_READ_PACING_H_
 
 #include <chrono>
 
@@ -31,4 +31,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_READING_PACE_H_
+#endif  // VALELEDGE_DECISIONS_READ_PACING_H_
--- a/src/decisions/answer_age.cc
+++ b/src/decisions/response_age.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/answer_age.h"
+#include "decisions/response_age.h"
 
 #include <algorithm>
 
--- a/src/decisions/answer_age.h
+++ b/src/decisions/response_age.h
@@ -7,8 +7,8 @@
 // Among 295 hosts of which each tells 16 others in 250 ms some host passes it
 // on every few milliseconds, so it would hardly grow at all. Each answer
 // therefore carries a stamp, and an answer that is known is not heard again.
-#ifndef VALELEDGE_DECISIONS_ANSWER_AGE_H_
-#define VALELEDGE_DECISIONS_ANSWER_AGE_H_
+#ifndef VALELEDGE_DECISIONS_RESPONSE_AGE_H_
+#define VALELEDGE_DECISIONS_RESPONSE_AGE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -81,4 +81,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_ANSWER_AGE_H_
+#endif  // VALELEDGE_DECISIONS_RESPONSE_AGE_H_
--- a/src/decisions/answer_check.cc
+++ b/src/decisions/response_check.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 
 namespace valeledge::decisions {
 
--- a/src/decisions/answer_check.h
+++ b/src/decisions/response_check.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Decides, chunk by chunk, whether an answer is the whole answer to one's own
 // attempt.
-#ifndef VALELEDGE_DECISIONS_ANSWER_CHECK_H_
-#define VALELEDGE_DECISIONS_ANSWER_CHECK_H_
+#ifndef VALELEDGE_DECISIONS_RESPONSE_CHECK_H_
+#define VALELEDGE_DECISIONS_RESPONSE_CHECK_H_
 
 #include <cstdint>
 #include <optional>
@@ -44,4 +44,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_ANSWER_CHECK_H_
+#endif  // VALELEDGE_DECISIONS_RESPONSE_CHECK_H_
--- a/src/decisions/place_ledger.cc
+++ b/src/decisions/slot_pool.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/place_ledger.h"
+#include "decisions/slot_pool.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/decisions/place_ledger.h
+++ b/src/decisions/slot_pool.h
@@ -8,8 +8,8 @@
 // deals knows all that is under way. A request waits with it, the one that is
 // due first before the others, and is refused at once if there will be no place
 // in time.
-#ifndef VALELEDGE_DECISIONS_PLACE_LEDGER_H_
-#define VALELEDGE_DECISIONS_PLACE_LEDGER_H_
+#ifndef VALELEDGE_DECISIONS_SLOT_POOL_H_
+#define VALELEDGE_DECISIONS_SLOT_POOL_H_
 
 #include <chrono>
 #include <cstdint>
@@ -109,4 +109,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_PLACE_LEDGER_H_
+#endif  // VALELEDGE_DECISIONS_SLOT_POOL_H_
--- a/src/decisions/copy_fetches.cc
+++ b/src/decisions/snapshot_fetches.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/copy_fetches.h"
+#include "decisions/snapshot_fetches.h"
 
 #include <algorithm>
 
--- a/src/decisions/copy_fetches.h
+++ b/src/decisions/snapshot_fetches.h
@@ -9,8 +9,8 @@
 // the very link on which the next copy is waited for. With a limit on the whole
 // copy instead, 21 of 22 hosts on links of 10 Mbit/s had no copy of 750 KB
 // after 60 s, in which 100 were carried (virtual time).
-#ifndef VALELEDGE_DECISIONS_COPY_FETCHES_H_
-#define VALELEDGE_DECISIONS_COPY_FETCHES_H_
+#ifndef VALELEDGE_DECISIONS_SNAPSHOT_FETCHES_H_
+#define VALELEDGE_DECISIONS_SNAPSHOT_FETCHES_H_
 
 #include <chrono>
 #include <cstddef>
@@ -101,4 +101,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_COPY_FETCHES_H_
+#endif  // VALELEDGE_DECISIONS_SNAPSHOT_FETCHES_H_
--- a/src/decisions/copy_giving.cc
+++ b/src/decisions/snapshot_serving.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/copy_giving.h"
+#include "decisions/snapshot_serving.h"
 
 namespace valeledge::decisions {
 
--- a/src/decisions/copy_giving.h
+++ b/src/decisions/snapshot_serving.h
@@ -3,8 +3,8 @@
 // one more. 21 hosts that share one narrow link have nothing until all of them
 // have everything: 12.6 s for 750 KB at 10 Mbit/s, in virtual time. Given to
 // one or two at a time, each of which gives it to others, the same takes 3.7 s.
-#ifndef VALELEDGE_DECISIONS_COPY_GIVING_H_
-#define VALELEDGE_DECISIONS_COPY_GIVING_H_
+#ifndef VALELEDGE_DECISIONS_SNAPSHOT_SERVING_H_
+#define VALELEDGE_DECISIONS_SNAPSHOT_SERVING_H_
 
 #include <chrono>
 #include <cstdint>
@@ -25,4 +25,4 @@
 
 }  // namespace valeledge::decisions
 
-#endif  // VALELEDGE_DECISIONS_COPY_GIVING_H_
+#endif  // VALELEDGE_DECISIONS_SNAPSHOT_SERVING_H_
--- a/src/gateway/process/ending_requests.h
+++ b/src/gateway/process/ending_requests.h
@@ -15,7 +15,7 @@
 #include <string_view>
 
 #include "base/duration.h"
-#include "decisions/quarantine_news.h"
+#include "decisions/quarantine_update.h"
 #include "node/node.h"
 
 namespace valeledge::gateway {
--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -12,7 +12,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/error.h"
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 #include "gateway/process/grant_client.h"
 #include "gateway/request/chat_request.h"
 #include "net/http_client.h"
--- a/src/gateway/request/event_reader.h
+++ b/src/gateway/request/event_reader.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 
 namespace valeledge::gateway {
 
--- a/src/host/host_settings.h
+++ b/src/host/host_settings.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/endpoint.h"
-#include "decisions/key_certainty.h"
+#include "decisions/key_freshness.h"
 
 namespace valeledge::host {
 
--- a/src/host/process/certainty_duty.h
+++ b/src/host/process/certainty_duty.h
@@ -21,7 +21,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/endpoint.h"
-#include "decisions/key_certainty.h"
+#include "decisions/key_freshness.h"
 #include "host/process/host_core.h"
 #include "store/kv_client.h"
 #include "wire/generated/messages_types.h"
--- a/src/host/process/copy_duty.cc
+++ b/src/host/process/copy_duty.cc
@@ -10,7 +10,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "base/logging.h"
-#include "decisions/copy_giving.h"
+#include "decisions/snapshot_serving.h"
 
 namespace valeledge::host {
 
--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -15,7 +15,7 @@
 
 #include "base/logging.h"
 #include "decisions/cold_start.h"
-#include "decisions/lease_turn.h"
+#include "decisions/lease_delay.h"
 #include "host/constants.h"
 #include "host/process/certainty_duty.h"
 #include "host/process/copy_duty.h"
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -17,7 +17,7 @@
 
 #include "base/metrics.h"
 #include "catalog/configuration.h"
-#include "decisions/key_certainty.h"
+#include "decisions/key_freshness.h"
 #include "decisions/quarantine.h"
 #include "host/dialect.h"
 #include "host/host_settings.h"
--- a/src/host/process/place_duty.h
+++ b/src/host/process/place_duty.h
@@ -17,7 +17,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "decisions/place_ledger.h"
+#include "decisions/slot_pool.h"
 #include "host/process/dealt_place.h"
 #include "host/process/host_core.h"
 #include "wire/generated/messages_types.h"
--- a/src/host/process/quarantine_duty.h
+++ b/src/host/process/quarantine_duty.h
@@ -19,7 +19,7 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "decisions/quarantine_news.h"
+#include "decisions/quarantine_update.h"
 #include "host/process/host_core.h"
 #include "membership/gossip.h"
 #include "store/kv_client.h"
--- a/src/host/process/server_registry.h
+++ b/src/host/process/server_registry.h
@@ -20,7 +20,7 @@
 #include "catalog/configuration.h"
 #include "decisions/advertised_limit.h"
 #include "decisions/cold_start.h"
-#include "decisions/reading_pace.h"
+#include "decisions/read_pacing.h"
 #include "decisions/server_cost.h"
 #include "host/dialect.h"
 #include "host/process/dealt_place.h"
--- a/src/host/process/store_mirror.cc
+++ b/src/host/process/store_mirror.cc
@@ -12,7 +12,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "base/logging.h"
-#include "decisions/first_reading.h"
+#include "decisions/initial_read.h"
 #include "host/constants.h"
 #include "wire/codec.h"
 #include "wire/packing.h"
--- a/src/host/process/store_mirror.h
+++ b/src/host/process/store_mirror.h
@@ -16,7 +16,7 @@
 
 #include "base/boot_clock.h"
 #include "base/duration.h"
-#include "decisions/answer_age.h"
+#include "decisions/response_age.h"
 #include "store/kv_client.h"
 #include "wire/generated/messages_types.h"
 
--- a/src/node/table_sync.h
+++ b/src/node/table_sync.h
@@ -11,7 +11,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/endpoint.h"
-#include "decisions/copy_fetches.h"
+#include "decisions/snapshot_fetches.h"
 
 namespace valeledge::node {
 
--- a/tests/auto/decisions/test_first_reading.cc
+++ b/tests/auto/decisions/test_initial_read.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/first_reading.h"
+#include "decisions/initial_read.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/auto/decisions/test_key_certainty.cc
+++ b/tests/auto/decisions/test_key_freshness.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // A host goes by a key only while it certainly knows of all that were taken
 // away, whatever happens to the messages by which it learns so.
-#include "decisions/key_certainty.h"
+#include "decisions/key_freshness.h"
 
 #include <optional>
 #include <random>
--- a/tests/auto/decisions/test_quarantine.cc
+++ b/tests/auto/decisions/test_quarantine.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/quarantine_news.h"
+#include "decisions/quarantine_update.h"
 
 #include <random>
 
--- a/tests/auto/decisions/test_reading_pace.cc
+++ b/tests/auto/decisions/test_read_pacing.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/reading_pace.h"
+#include "decisions/read_pacing.h"
 
 #include <algorithm>
 #include <array>
--- a/tests/auto/decisions/test_answer_age.cc
+++ b/tests/auto/decisions/test_response_age.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Hosts that tell each other of the key-value service's answers, in virtual
 // time.
-#include "decisions/answer_age.h"
+#include "decisions/response_age.h"
 
 #include <algorithm>
 #include <functional>
--- a/tests/auto/decisions/test_answer_check.cc
+++ b/tests/auto/decisions/test_response_check.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 #include <boost/test/unit_test.hpp>
 
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 
 namespace {
 
--- a/tests/auto/decisions/test_place_ledger.cc
+++ b/tests/auto/decisions/test_slot_pool.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Places at the servers of a plain service, dealt out by one host.
-#include "decisions/place_ledger.h"
+#include "decisions/slot_pool.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/auto/decisions/test_copy_fetches.cc
+++ b/tests/auto/decisions/test_snapshot_fetches.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/copy_fetches.h"
-#include "decisions/copy_giving.h"
+#include "decisions/snapshot_fetches.h"
+#include "decisions/snapshot_serving.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/auto/host/test_copy_spread.cc
+++ b/tests/auto/host/test_copy_spread.cc
@@ -29,8 +29,8 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
 
-#include "decisions/copy_fetches.h"
-#include "decisions/copy_giving.h"
+#include "decisions/snapshot_fetches.h"
+#include "decisions/snapshot_serving.h"
 #include "fake_store.h"
 #include "host/process/store_mirror.h"
 #include "wire/codec.h"
