--- a/src/decisions/cold_start.cc
+++ b/src/decisions/cold_start.cc
@@ -11,51 +11,52 @@
 // hosts that choose by themselves. While a dealer is replaced there may be two
 // of them for a moment, and turns of hosts that are drawn at random may fall
 // together.
-constexpr double kDealerPart = 0.35;
-constexpr double kHostsPart = 0.25;
+constexpr double kAllocatorFraction = 0.35;
+constexpr double kHostsFraction = 0.25;
 
 }  // namespace
 
-void NoteCold(cold_server& server,
-              std::chrono::milliseconds left,
+void MarkCold(cold_server& server,
+              std::chrono::milliseconds remaining,
               base::time_point now) {
   const bool was_cold = IsCold(server, now);
-  server.until = now + left;
+  server.cold_until = now + remaining;
   if (!was_cold)
-    server.turn.reset();
+    server.next_send_at.reset();
 }
 
 bool IsCold(const cold_server& server, base::time_point now) {
-  return now < server.until;
+  return now < server.cold_until;
 }
 
-std::chrono::duration<double> ColdPause(const cold_share& share) {
+std::chrono::duration<double> ColdSendInterval(const cold_share& share) {
   const auto hosts =
       static_cast<double>(std::max<std::int64_t>(share.hosts, 1));
-  return std::chrono::duration<double>(hosts / (kHostsPart * share.rate));
+  return std::chrono::duration<double>(hosts / (kHostsFraction * share.rate));
 }
 
-std::chrono::milliseconds ColdDealPause(double rate) {
+std::chrono::milliseconds ColdAllocationInterval(double rate) {
   return std::chrono::ceil<std::chrono::milliseconds>(
-      std::chrono::duration<double>(1 / (kDealerPart * rate)));
+      std::chrono::duration<double>(1 / (kAllocatorFraction * rate)));
 }
 
-bool TakeColdTurn(cold_server& server,
-                  const cold_share& share,
-                  base::time_point now,
-                  std::mt19937_64& random) {
-  if (!share.settled || share.rate <= 0)
+bool TryStartColdSend(cold_server& server,
+                      const cold_share& share,
+                      base::time_point now,
+                      std::mt19937_64& random) {
+  if (!share.peers_known || share.rate <= 0)
     return false;
-  const auto after = [&](double part) {
+  const auto after = [&](double fraction) {
     return now + std::chrono::duration_cast<base::time_point::duration>(
-                     ColdPause(share) * part);
+                     ColdSendInterval(share) * fraction);
   };
   // Hosts learn of a cold server together; their turns are spread.
-  if (!server.turn)
-    server.turn = after(std::uniform_real_distribution<double>(0, 1)(random));
-  if (now < *server.turn)
+  if (!server.next_send_at)
+    server.next_send_at =
+        after(std::uniform_real_distribution<double>(0, 1)(random));
+  if (now < *server.next_send_at)
     return false;
-  server.turn = after(1);
+  server.next_send_at = after(1);
   return true;
 }
 
--- a/src/decisions/cold_start.h
+++ b/src/decisions/cold_start.h
@@ -20,10 +20,10 @@
 // What one host knows of a server that may be cold.
 struct cold_server {
   // It is cold until then.
-  base::time_point until;
+  base::time_point cold_until;
   // This host's next request may go there from then on; nothing before the
   // first turn is drawn.
-  std::optional<base::time_point> turn;
+  std::optional<base::time_point> next_send_at;
 };
 
 // What one host may send of what a cold server tolerates.
@@ -33,28 +33,28 @@
   // Hosts that may send there, this one included: the most that were known.
   std::int64_t hosts = 1;
   // Whether this host has been there long enough to know the others.
-  bool settled = true;
+  bool peers_known = true;
 };
 
 // A server says that it stays cold for so long; 0 if it is warm.
-void NoteCold(cold_server& server,
-              std::chrono::milliseconds left,
+void MarkCold(cold_server& server,
+              std::chrono::milliseconds remaining,
               base::time_point now);
 
 bool IsCold(const cold_server& server, base::time_point now);
 
 // The time between two requests of one host to one cold server.
-std::chrono::duration<double> ColdPause(const cold_share& share);
+std::chrono::duration<double> ColdSendInterval(const cold_share& share);
 
 // The time between two places at one cold server that its dealer gives out.
-std::chrono::milliseconds ColdDealPause(double rate);
+std::chrono::milliseconds ColdAllocationInterval(double rate);
 
 // Whether this host may send one request to a cold server now; if so, its turn
 // is taken, whether or not the request is sent.
-bool TakeColdTurn(cold_server& server,
-                  const cold_share& share,
-                  base::time_point now,
-                  std::mt19937_64& random);
+bool TryStartColdSend(cold_server& server,
+                      const cold_share& share,
+                      base::time_point now,
+                      std::mt19937_64& random);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/initial_read.cc
+++ b/src/decisions/initial_read.cc
@@ -3,12 +3,13 @@
 
 namespace valeledge::decisions {
 
-bool ShouldReadFirst(const first_reading& host) {
-  if (host.since_start < kOthersKnown)
+bool ShouldStartInitialRead(const initial_read& host) {
+  if (host.since_start < kPeerDiscoveryTime)
     return false;
-  if (host.chosen || !host.knows_others)
+  if (host.chosen || !host.knows_peers)
     return true;
-  return host.since_start >= kFirstCopyDue + kFirstCopyDue * host.draw;
+  return host.since_start >=
+         kInitialSnapshotTimeout + kInitialSnapshotTimeout * host.jitter;
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/initial_read.h
+++ b/src/decisions/initial_read.h
@@ -16,24 +16,24 @@
 
 // Hosts know most others of their availability zone so long after they have
 // started together.
-inline constexpr std::chrono::milliseconds kOthersKnown{400};
+inline constexpr std::chrono::milliseconds kPeerDiscoveryTime{400};
 
 // A host without a copy so long after its start reads for itself, spread over
 // as long again: those that were chosen may have ended.
-inline constexpr std::chrono::milliseconds kFirstCopyDue{1500};
+inline constexpr std::chrono::milliseconds kInitialSnapshotTimeout{1500};
 
 // A host that has no copy of the key-value service yet.
-struct first_reading {
+struct initial_read {
   std::chrono::milliseconds since_start{0};
   // It is one of those that read for its availability zone, among the hosts
   // that it knows.
   bool chosen = false;
-  bool knows_others = false;
+  bool knows_peers = false;
   // Spreads hosts that read for themselves, from 0 to 1.
-  double draw = 0;
+  double jitter = 0;
 };
 
-bool ShouldReadFirst(const first_reading& host);
+bool ShouldStartInitialRead(const initial_read& host);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/key_freshness.cc
+++ b/src/decisions/key_freshness.cc
@@ -9,67 +9,67 @@
 
 // Readings that wait for their revision: several a second, for as long as what
 // they prove is worth anything.
-constexpr std::size_t kMostAwaited = 16;
+constexpr std::size_t kMaxPendingReads = 16;
 
 // Clocks of machines do not run exactly alike.
 constexpr std::chrono::milliseconds kClockMargin{100};
 
-void NoteComplete(key_certainty& certainty, boot_time as_of) {
-  if (!certainty.complete_as_of || as_of > *certainty.complete_as_of)
-    certainty.complete_as_of = as_of;
+void SetCompleteAsOf(key_freshness& freshness, boot_time as_of) {
+  if (!freshness.complete_as_of || as_of > *freshness.complete_as_of)
+    freshness.complete_as_of = as_of;
 }
 
-bool IsYounger(std::optional<std::chrono::milliseconds> age,
-               std::chrono::milliseconds bound) {
+bool IsWithin(std::optional<std::chrono::milliseconds> age,
+              std::chrono::milliseconds bound) {
   return age && *age + kClockMargin <= bound;
 }
 
 }  // namespace
 
-void NoteReading(key_certainty& certainty,
-                 const store_reading& reading,
-                 std::int64_t known_revision,
-                 boot_time now) {
-  if (reading.asked > now || reading.revision <= 0)
+void RecordStoreRead(key_freshness& freshness,
+                     const store_read& read,
+                     std::int64_t known_revision,
+                     boot_time now) {
+  if (read.requested_at > now || read.revision <= 0)
     return;
-  if (reading.revision <= known_revision) {
-    NoteComplete(certainty, reading.asked);
+  if (read.revision <= known_revision) {
+    SetCompleteAsOf(freshness, read.requested_at);
     return;
   }
-  certainty.awaited.push_back(reading);
-  if (certainty.awaited.size() > kMostAwaited)
-    certainty.awaited.pop_front();
+  freshness.pending_reads.push_back(read);
+  if (freshness.pending_reads.size() > kMaxPendingReads)
+    freshness.pending_reads.pop_front();
 }
 
-void NoteRevision(key_certainty& certainty, std::int64_t known_revision) {
-  const auto is_here = [&](const store_reading& each) {
+void RecordRevision(key_freshness& freshness, std::int64_t known_revision) {
+  const auto is_here = [&](const store_read& each) {
     return each.revision <= known_revision;
   };
-  for (const store_reading& each : certainty.awaited) {
+  for (const store_read& each : freshness.pending_reads) {
     if (is_here(each))
-      NoteComplete(certainty, each.asked);
+      SetCompleteAsOf(freshness, each.requested_at);
   }
-  std::erase_if(certainty.awaited, is_here);
+  std::erase_if(freshness.pending_reads, is_here);
 }
 
-std::optional<std::chrono::milliseconds> AgeOf(const key_certainty& certainty,
-                                               boot_time now) {
-  if (!certainty.complete_as_of)
+std::optional<std::chrono::milliseconds> DataAge(const key_freshness& freshness,
+                                                 boot_time now) {
+  if (!freshness.complete_as_of)
     return std::nullopt;
   return std::chrono::ceil<std::chrono::milliseconds>(
-      now - *certainty.complete_as_of);
+      now - *freshness.complete_as_of);
 }
 
-key_verdict JudgeKey(bool is_known,
+key_verdict CheckKey(bool is_known,
                      std::optional<std::chrono::milliseconds> age,
                      const key_bounds& bounds) {
   if (!is_known) {
-    return IsYounger(age, bounds.known_within) ? key_verdict::kUnknown
-                                               : key_verdict::kNotCertain;
+    return IsWithin(age, bounds.known_within) ? key_verdict::kUnknown
+                                              : key_verdict::kNotFresh;
   }
-  if (bounds.revoked_within && !IsYounger(age, *bounds.revoked_within))
-    return key_verdict::kNotCertain;
-  return key_verdict::kGood;
+  if (bounds.revoked_within && !IsWithin(age, *bounds.revoked_within))
+    return key_verdict::kNotFresh;
+  return key_verdict::kValid;
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/key_freshness.h
+++ b/src/decisions/key_freshness.h
@@ -23,34 +23,34 @@
 using boot_time = base::boot_clock::time_point;
 
 // A reading of the store, as the host that asked for it sees it.
-struct store_reading {
+struct store_read {
   // When the host asked; the reading was sent later.
-  boot_time asked;
+  boot_time requested_at;
   // The store's revision then.
   std::int64_t revision = 0;
 };
 
 // Changed only by the functions below.
-struct key_certainty {
+struct key_freshness {
   // All that the store held then is known here.
   std::optional<boot_time> complete_as_of;
   // Readings that found a revision which is not here yet, the oldest first.
-  std::deque<store_reading> awaited;
+  std::deque<store_read> pending_reads;
 };
 
 // A reading has been made; everything up to `known_revision` is here. Readings
 // asked for in the future are of another clock, and tell nothing.
-void NoteReading(key_certainty& certainty,
-                 const store_reading& reading,
-                 std::int64_t known_revision,
-                 boot_time now);
+void RecordStoreRead(key_freshness& freshness,
+                     const store_read& read,
+                     std::int64_t known_revision,
+                     boot_time now);
 
 // Everything up to `known_revision` is here now.
-void NoteRevision(key_certainty& certainty, std::int64_t known_revision);
+void RecordRevision(key_freshness& freshness, std::int64_t known_revision);
 
 // How old what is certainly complete here is; nothing if nothing is.
-std::optional<std::chrono::milliseconds> AgeOf(const key_certainty& certainty,
-                                               boot_time now);
+std::optional<std::chrono::milliseconds> DataAge(const key_freshness& freshness,
+                                                 boot_time now);
 
 // What operators want of keys.
 struct key_bounds {
@@ -63,14 +63,14 @@
 
 // What becomes of a request with a key.
 enum class key_verdict {
-  kGood,
+  kValid,
   kUnknown,
   // Another host may know.
-  kNotCertain,
+  kNotFresh,
 };
 
 // `is_known`: whether the configuration here has the key.
-key_verdict JudgeKey(bool is_known,
+key_verdict CheckKey(bool is_known,
                      std::optional<std::chrono::milliseconds> age,
                      const key_bounds& bounds);
 
--- a/src/decisions/lease_delay.cc
+++ b/src/decisions/lease_delay.cc
@@ -14,20 +14,21 @@
 // longer. The service answers in some milliseconds, and hosts that follow it
 // see within about 20 that the lease is taken: half a core then comes 100 ms
 // before a quarter, and that 100 ms before an eighth.
-constexpr std::chrono::duration<double, std::milli> kTurnOfOneCore{50};
-constexpr milliseconds kLongestTurn{500};
+constexpr std::chrono::duration<double, std::milli> kOneCoreDelay{50};
+constexpr milliseconds kMaxDelay{500};
 
 // The part of a turn that is waited in any case.
-constexpr double kLeastPart = 0.5;
+constexpr double kMinDelayFraction = 0.5;
 
 }  // namespace
 
-milliseconds LeaseTurn(double cores, double draw) {
+milliseconds LeaseAcquireDelay(double cores, double jitter) {
   if (cores <= 0)
     return milliseconds(0);
-  const double part = kLeastPart + (1 - kLeastPart) * draw;
-  const auto turn = duration_cast<milliseconds>(kTurnOfOneCore / cores * part);
-  return std::min(turn, kLongestTurn);
+  const double fraction = kMinDelayFraction + (1 - kMinDelayFraction) * jitter;
+  const auto delay =
+      duration_cast<milliseconds>(kOneCoreDelay / cores * fraction);
+  return std::min(delay, kMaxDelay);
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/lease_delay.h
+++ b/src/decisions/lease_delay.h
@@ -13,7 +13,7 @@
 
 // How long a host with so many cores (0: not known) waits before it tries.
 // `draw`, from 0 to 1, spreads hosts that are equally strong.
-std::chrono::milliseconds LeaseTurn(double cores, double draw);
+std::chrono::milliseconds LeaseAcquireDelay(double cores, double jitter);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/quarantine.cc
+++ b/src/decisions/quarantine.cc
@@ -11,150 +11,159 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-bool IsHeld(const suspect& each, base::time_point now) {
-  return each.held_since && now < *each.held_since + kHoldTime;
+bool IsQuarantined(const suspect& each, base::time_point now) {
+  return each.quarantined_since &&
+         now < *each.quarantined_since + kQuarantineDuration;
 }
 
 // What was told of it before, and may be told again, no longer counts.
-void EndHold(suspect& each, base::time_point now) {
-  each.held_since.reset();
+void EndQuarantine(suspect& each, base::time_point now) {
+  each.quarantined_since.reset();
   each.released_at = now;
-  each.ends.clear();
-  each.newest = now;
+  each.crashes.clear();
+  each.last_event_at = now;
 }
 
 // Ends holds that have run out, and forgets ends that are too old.
-void Age(suspect& each, base::time_point now) {
-  if (each.held_since && !IsHeld(each, now))
-    EndHold(each, now);
-  std::erase_if(each.ends, [now](const server_end& end) {
-    return now - end.at >= kHoldTime;
+void RemoveExpired(suspect& each, base::time_point now) {
+  if (each.quarantined_since && !IsQuarantined(each, now))
+    EndQuarantine(each, now);
+  std::erase_if(each.crashes, [now](const server_crash& crash) {
+    return now - crash.at >= kQuarantineDuration;
   });
 }
 
-bool IsForgotten(const suspect& each, base::time_point now) {
-  return !each.held_since && now - each.newest >= kHoldTime;
+bool IsExpired(const suspect& each, base::time_point now) {
+  return !each.quarantined_since &&
+         now - each.last_event_at >= kQuarantineDuration;
 }
 
 // Whether two ends count as one: attempts that were under way at the same time,
 // or what is told of one server again.
-bool AreOne(const server_end& one, const server_end& other) {
-  const bool in_turn = one.sent >= other.at || other.sent >= one.at;
-  const auto apart = one.at > other.at ? one.at - other.at : other.at - one.at;
-  return !in_turn || (one.server == other.server && apart < kSameEnd);
+bool AreSameCrash(const server_crash& one, const server_crash& other) {
+  const bool sequential = one.sent >= other.at || other.sent >= one.at;
+  const auto interval =
+      one.at > other.at ? one.at - other.at : other.at - one.at;
+  return !sequential ||
+         (one.server == other.server && interval < kSameCrashWindow);
 }
 
 // Makes room for one more: what is held back stays, and of the others the one
 // whose last end is the longest ago goes.
-bool MakeRoom(quarantine& known) {
-  if (known.suspects.size() < kMostSuspects)
+bool EvictIfFull(quarantine& state) {
+  if (state.suspects.size() < kMaxSuspects)
     return true;
-  auto oldest = known.suspects.end();
-  for (auto at = known.suspects.begin(); at != known.suspects.end(); ++at) {
-    const bool may_go = !at->second.held_since;
-    const bool older = oldest == known.suspects.end() ||
-                       at->second.newest < oldest->second.newest;
-    if (may_go && older)
+  auto oldest = state.suspects.end();
+  for (auto at = state.suspects.begin(); at != state.suspects.end(); ++at) {
+    const bool evictable = !at->second.quarantined_since;
+    const bool older = oldest == state.suspects.end() ||
+                       at->second.last_event_at < oldest->second.last_event_at;
+    if (evictable && older)
       oldest = at;
   }
-  if (oldest == known.suspects.end())
+  if (oldest == state.suspects.end())
     return false;
-  known.suspects.erase(oldest);
+  state.suspects.erase(oldest);
   return true;
 }
 
-suspect* FindOrAdd(quarantine& known, std::uint64_t digest) {
-  const auto found = known.suspects.find(digest);
-  if (found != known.suspects.end())
+suspect* FindOrAdd(quarantine& state, std::uint64_t digest) {
+  const auto found = state.suspects.find(digest);
+  if (found != state.suspects.end())
     return &found->second;
-  return MakeRoom(known) ? &known.suspects[digest] : nullptr;
+  return EvictIfFull(state) ? &state.suspects[digest] : nullptr;
 }
 
 }  // namespace
 
-bool IsSuspect(const broken_attempt& attempt) {
+bool MayHaveCrashedServer(const interrupted_attempt& attempt) {
   return attempt.connection_lost &&
-         (!attempt.answering || *attempt.answering < kBeginning);
+         (!attempt.response_duration ||
+          *attempt.response_duration < kEarlyResponseWindow);
 }
 
-bool NoteEnd(quarantine& known,
-             std::uint64_t digest,
-             const server_end& end,
-             base::time_point now) {
-  suspect* const each = FindOrAdd(known, digest);
+bool RecordCrash(quarantine& state,
+                 std::uint64_t digest,
+                 const server_crash& crash,
+                 base::time_point now) {
+  suspect* const each = FindOrAdd(state, digest);
   if (each == nullptr)
     return false;
-  Age(*each, now);
-  const bool same = std::ranges::any_of(
-      each->ends,
-      [&end](const server_end& other) { return AreOne(end, other); });
-  const bool before = each->released_at && end.at < *each->released_at;
-  if (same || before)
+  RemoveExpired(*each, now);
+  const bool is_known =
+      std::ranges::any_of(each->crashes, [&crash](const server_crash& other) {
+        return AreSameCrash(crash, other);
+      });
+  const bool before_release =
+      each->released_at && crash.at < *each->released_at;
+  if (is_known || before_release)
     return false;
-  each->newest = std::max(each->newest, end.at);
-  if (each->ends.size() < kEndsToHold)
-    each->ends.push_back(end);
-  if (each->held_since)
+  each->last_event_at = std::max(each->last_event_at, crash.at);
+  if (each->crashes.size() < kCrashesToQuarantine)
+    each->crashes.push_back(crash);
+  if (each->quarantined_since)
     return false;
-  if (each->ends.size() < kEndsToHold && !each->released_at)
+  if (each->crashes.size() < kCrashesToQuarantine && !each->released_at)
     return false;
-  each->held_since = now;
+  each->quarantined_since = now;
   return true;
 }
 
-bool NoteHeld(quarantine& known, std::uint64_t digest, base::time_point now) {
-  suspect* const each = FindOrAdd(known, digest);
+bool RecordQuarantine(quarantine& state,
+                      std::uint64_t digest,
+                      base::time_point now) {
+  suspect* const each = FindOrAdd(state, digest);
   if (each == nullptr)
     return false;
-  Age(*each, now);
-  if (each->held_since)
+  RemoveExpired(*each, now);
+  if (each->quarantined_since)
     return false;
-  each->held_since = now;
-  each->newest = now;
+  each->quarantined_since = now;
+  each->last_event_at = now;
   return true;
 }
 
-bool NoteWhole(quarantine& known, std::uint64_t digest) {
-  const auto found = known.suspects.find(digest);
-  if (found == known.suspects.end() || found->second.held_since)
+bool RecordCompleteResponse(quarantine& state, std::uint64_t digest) {
+  const auto found = state.suspects.find(digest);
+  if (found == state.suspects.end() || found->second.quarantined_since)
     return false;
-  known.suspects.erase(found);
+  state.suspects.erase(found);
   return true;
 }
 
-void Release(quarantine& known, std::uint64_t digest, base::time_point now) {
-  const auto found = known.suspects.find(digest);
-  if (found != known.suspects.end() && found->second.held_since)
-    EndHold(found->second, now);
+void Release(quarantine& state, std::uint64_t digest, base::time_point now) {
+  const auto found = state.suspects.find(digest);
+  if (found != state.suspects.end() && found->second.quarantined_since)
+    EndQuarantine(found->second, now);
 }
 
-std::optional<milliseconds> HeldFor(const quarantine& known,
-                                    std::uint64_t digest,
-                                    base::time_point now) {
-  const auto found = known.suspects.find(digest);
-  if (found == known.suspects.end() || !IsHeld(found->second, now))
+std::optional<milliseconds> RemainingQuarantine(const quarantine& state,
+                                                std::uint64_t digest,
+                                                base::time_point now) {
+  const auto found = state.suspects.find(digest);
+  if (found == state.suspects.end() || !IsQuarantined(found->second, now))
     return std::nullopt;
-  return duration_cast<milliseconds>(*found->second.held_since + kHoldTime -
-                                     now);
+  return duration_cast<milliseconds>(*found->second.quarantined_since +
+                                     kQuarantineDuration - now);
 }
 
-bool IsSuspected(const quarantine& known, std::uint64_t digest) {
-  const auto found = known.suspects.find(digest);
-  return found != known.suspects.end() &&
-         (found->second.held_since || found->second.ends.size() > 1);
+bool IsSuspected(const quarantine& state, std::uint64_t digest) {
+  const auto found = state.suspects.find(digest);
+  return found != state.suspects.end() &&
+         (found->second.quarantined_since || found->second.crashes.size() > 1);
 }
 
-std::size_t CountHeld(const quarantine& known, base::time_point now) {
+std::size_t CountQuarantined(const quarantine& state, base::time_point now) {
   return static_cast<std::size_t>(std::ranges::count_if(
-      known.suspects,
-      [now](const auto& each) { return IsHeld(each.second, now); }));
+      state.suspects,
+      [now](const auto& each) { return IsQuarantined(each.second, now); }));
 }
 
-void Sweep(quarantine& known, base::time_point now) {
-  for (auto& [digest, each] : known.suspects)
-    Age(each, now);
-  std::erase_if(known.suspects, [now](const auto& each) {
-    return IsForgotten(each.second, now);
+void Sweep(quarantine& state, base::time_point now) {
+  for (auto& [digest, each] : state.suspects)
+    RemoveExpired(each, now);
+  std::erase_if(state.suspects, [now](const auto& each) {
+    return IsExpired(each.second, now);
   });
 }
 
--- a/src/decisions/quarantine.h
+++ b/src/decisions/quarantine.h
@@ -27,44 +27,44 @@
 // up to 17 other requests were seen that had no part of an answer yet; one that
 // is resumed elsewhere may be at a second end. A third without a whole answer
 // in between is left to chance alone, or to the request.
-inline constexpr std::size_t kEndsToHold = 3;
+inline constexpr std::size_t kCrashesToQuarantine = 3;
 
 // What is told of one server within this time is one end: several hosts see it,
 // and the same request may be there twice. A server takes seconds to come back.
-inline constexpr std::chrono::milliseconds kSameEnd{2000};
+inline constexpr std::chrono::milliseconds kSameCrashWindow{2000};
 
 // A server ends while it begins to run such a request. One whose answer has
 // been coming for longer than this has been running well: of 14 requests that
 // had ended their servers, none had been given a part of an answer, and the
 // streams that were cut there take two to four seconds.
-inline constexpr std::chrono::milliseconds kBeginning{500};
+inline constexpr std::chrono::milliseconds kEarlyResponseWindow{500};
 
 // Ends are remembered for so long, and a request is held back for as long: the
 // longest that the key-value service keeps a key for a host that may have gone
 // (ten minutes). After that one server is risked: a repaired one runs it.
-inline constexpr std::chrono::minutes kHoldTime{10};
+inline constexpr std::chrono::minutes kQuarantineDuration{10};
 
 // Requests that are remembered, each in some 150 bytes: those at the last 200
 // ends, by the most that were suspected at one.
-inline constexpr std::size_t kMostSuspects = 4096;
+inline constexpr std::size_t kMaxSuspects = 4096;
 
 // An attempt that came to nothing, as its host saw it.
-struct broken_attempt {
+struct interrupted_attempt {
   // The server closed the connection; no time ran out.
   bool connection_lost = false;
   // How long the answer had been coming; nothing if no part of it had.
-  std::optional<std::chrono::milliseconds> answering;
+  std::optional<std::chrono::milliseconds> response_duration;
 };
 
 // Whether the server may have ended since it ran this request.
-bool IsSuspect(const broken_attempt& attempt);
+bool MayHaveCrashedServer(const interrupted_attempt& attempt);
 
 // The end of one server, named by a hash, while a request was there.
 //
 // Two ends count as two only if the second attempt was sent after the first
 // end: when a zone or a rack is lost, many servers end at once, and a path that
 // many callers ask for is at all of them. What ends its server comes again.
-struct server_end {
+struct server_crash {
   std::int32_t server = 0;
   // When the attempt was sent to the server, and when that ended.
   base::time_point sent;
@@ -75,11 +75,11 @@
 
 // One request at which servers have ended.
 struct suspect {
-  std::vector<server_end> ends;
-  std::optional<base::time_point> held_since;
+  std::vector<server_crash> crashes;
+  std::optional<base::time_point> quarantined_since;
   // It was held back before: one end more is enough, if it comes after this.
   std::optional<base::time_point> released_at;
-  base::time_point newest;
+  base::time_point last_event_at;
 };
 
 }  // namespace detail
@@ -91,36 +91,39 @@
 
 // A server has ended under a request, here or at another host. True if the
 // request is held back from now on, and was not before.
-bool NoteEnd(quarantine& known,
-             std::uint64_t digest,
-             const server_end& end,
-             base::time_point now);
+bool RecordCrash(quarantine& state,
+                 std::uint64_t digest,
+                 const server_crash& crash,
+                 base::time_point now);
 
 // The request is held back by all hosts. True if it was not before.
-bool NoteHeld(quarantine& known, std::uint64_t digest, base::time_point now);
+bool RecordQuarantine(quarantine& state,
+                      std::uint64_t digest,
+                      base::time_point now);
 
 // A server has answered the request whole and well: what ended others was not
 // this.
 // True if it was suspected until now; what is held back stays so.
-bool NoteWhole(quarantine& known, std::uint64_t digest);
+bool RecordCompleteResponse(quarantine& state, std::uint64_t digest);
 
 // The request is no longer held back; one end more from now on and it is again.
-void Release(quarantine& known, std::uint64_t digest, base::time_point now);
+void Release(quarantine& state, std::uint64_t digest, base::time_point now);
 
 // For how much longer a request is held back; nothing if it is not.
-std::optional<std::chrono::milliseconds> HeldFor(const quarantine& known,
-                                                 std::uint64_t digest,
-                                                 base::time_point now);
+std::optional<std::chrono::milliseconds> RemainingQuarantine(
+    const quarantine& state,
+    std::uint64_t digest,
+    base::time_point now);
 
 // Whether more than one server has ended under a request, or it is held back:
 // of those that were at a single end most have only been there.
-bool IsSuspected(const quarantine& known, std::uint64_t digest);
+bool IsSuspected(const quarantine& state, std::uint64_t digest);
 
 // How many requests are held back.
-std::size_t CountHeld(const quarantine& known, base::time_point now);
+std::size_t CountQuarantined(const quarantine& state, base::time_point now);
 
 // Forgets what is too old to count.
-void Sweep(quarantine& known, base::time_point now);
+void Sweep(quarantine& state, base::time_point now);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/quarantine_update.h
+++ b/src/decisions/quarantine_update.h
@@ -17,40 +17,43 @@
 
 // Facts that one process keeps, the newest: those of several ends with all the
 // requests that were there.
-inline constexpr std::size_t kMostFacts = 256;
+inline constexpr std::size_t kMaxObservations = 256;
 
 // Facts in one message, the newest: each takes some 20 bytes, and all fit into
 // one datagram.
-inline constexpr std::size_t kMostToldAtOnce = 24;
+inline constexpr std::size_t kMaxObservationsPerMessage = 24;
 
 // Something that a process has seen itself.
-struct quarantine_fact {
+struct quarantine_observation {
   std::uint64_t digest = 0;
   // The server that ended; nothing if the request was answered whole.
-  std::optional<server_end> end;
+  std::optional<server_crash> crash;
   base::time_point at;
 };
 
 // What a process has seen lately, the oldest first.
-using quarantine_facts = std::deque<quarantine_fact>;
+using quarantine_observations = std::deque<quarantine_observation>;
 
-// Adds a fact, and drops the oldest beyond kMostFacts. A whole answer takes the
-// place of the ends before it, which would be told again and again otherwise;
-// an end takes the place of a whole answer.
-void AddFact(quarantine_facts& facts, const quarantine_fact& fact);
+// Adds a fact, and drops the oldest beyond kMaxObservations. A whole answer
+// takes the place of the ends before it, which would be told again and again
+// otherwise; an end takes the place of a whole answer.
+void AddObservation(quarantine_observations& observations,
+                    const quarantine_observation& observation);
 
 // Drops the ends under requests that another process has seen answered whole.
-void DropCleared(quarantine_facts& facts, const wire::end_news& news);
+void DropCleared(quarantine_observations& observations,
+                 const wire::end_news& update);
 
 // The newest facts as they are told at `now`; ages stand for times, since
 // clocks differ.
-wire::end_news NewsOf(const quarantine_facts& facts, base::time_point now);
+wire::end_news MakeUpdate(const quarantine_observations& observations,
+                          base::time_point now);
 
 // Takes in what another process told: the requests that are held back from now
 // on, and were not before.
-std::vector<std::uint64_t> TakeNews(quarantine& known,
-                                    const wire::end_news& news,
-                                    base::time_point now);
+std::vector<std::uint64_t> ApplyUpdate(quarantine& state,
+                                       const wire::end_news& update,
+                                       base::time_point now);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/read_pacing.cc
+++ b/src/decisions/read_pacing.cc
@@ -10,27 +10,27 @@
 using milliseconds = std::chrono::duration<double, std::milli>;
 
 // Reading is forgotten over about the pause that streams accept.
-constexpr milliseconds kWindow{250};
+constexpr milliseconds kDecayTime{250};
 
 // Reading of late counts for this part of reading that is still to be done.
-constexpr double kPausePart = 0.5;
+constexpr double kRecentReadWeight = 0.5;
 
-milliseconds LevelAt(const reading_pace& pace, base::time_point now) {
-  const milliseconds passed = now - pace.at;
-  return pace.level * std::exp(-(passed / kWindow));
+milliseconds LevelAt(const read_pacing& pacing, base::time_point now) {
+  const milliseconds passed = now - pacing.at;
+  return pacing.level * std::exp(-(passed / kDecayTime));
 }
 
 }  // namespace
 
-void AddReading(reading_pace& pace,
-                milliseconds reading,
-                base::time_point now) {
-  pace.level = LevelAt(pace, now) + reading;
-  pace.at = now;
+void AddPromptRead(read_pacing& pacing,
+                   milliseconds read_time,
+                   base::time_point now) {
+  pacing.level = LevelAt(pacing, now) + read_time;
+  pacing.at = now;
 }
 
-milliseconds PauseCost(const reading_pace& pace, base::time_point now) {
-  return LevelAt(pace, now) * kPausePart;
+milliseconds PauseCost(const read_pacing& pacing, base::time_point now) {
+  return LevelAt(pacing, now) * kRecentReadWeight;
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/read_pacing.h
+++ b/src/decisions/read_pacing.h
@@ -15,18 +15,18 @@
 namespace valeledge::decisions {
 
 // Reading that was sent to an engine, the older part of it forgotten.
-struct reading_pace {
+struct read_pacing {
   std::chrono::duration<double, std::milli> level{0};
   base::time_point at;
 };
 
 // Takes in that a prompt was sent which takes `reading` to read.
-void AddReading(reading_pace& pace,
-                std::chrono::duration<double, std::milli> reading,
-                base::time_point now);
+void AddPromptRead(read_pacing& pacing,
+                   std::chrono::duration<double, std::milli> read_time,
+                   base::time_point now);
 
 // What a request should count against the engine beside its expected wait.
-std::chrono::duration<double, std::milli> PauseCost(const reading_pace& pace,
+std::chrono::duration<double, std::milli> PauseCost(const read_pacing& pacing,
                                                     base::time_point now);
 
 }  // namespace valeledge::decisions
--- a/src/decisions/response_age.cc
+++ b/src/decisions/response_age.cc
@@ -9,67 +9,68 @@
 
 // Answers that are older tell nothing any more; whoever was given them has
 // ended or follows the service no longer.
-constexpr std::chrono::seconds kForgotten{30};
+constexpr std::chrono::seconds kResponseExpiry{30};
 
 }  // namespace
 
-void NoteOwnAnswer(answer_ages& ages, bool chosen, base::time_point now) {
+void RecordOwnResponse(response_ages& ages, bool chosen, base::time_point now) {
   ++ages.own.count;
   ages.own.chosen = chosen;
   ages.own_at = now;
 }
 
-void HearAnswer(answer_ages& ages,
-                const told_answer& told,
-                base::time_point now) {
-  if (told.stamp.origin == ages.own.origin || told.age >= kForgotten)
+void RecordReportedResponse(response_ages& ages,
+                            const reported_response& reported,
+                            base::time_point now) {
+  if (reported.stamp.origin == ages.own.origin ||
+      reported.age >= kResponseExpiry)
     return;
-  std::erase_if(ages.heard, [&](const auto& each) {
-    return now - each.second.at >= kForgotten;
+  std::erase_if(ages.received, [&](const auto& each) {
+    return now - each.second.at >= kResponseExpiry;
   });
-  auto& known = ages.heard[told.stamp.origin];
-  if (known.stamp.count >= told.stamp.count)
+  auto& known = ages.received[reported.stamp.origin];
+  if (known.stamp.count >= reported.stamp.count)
     return;
-  known = {told.stamp, now - told.age};
+  known = {reported.stamp, now - reported.age};
 }
 
-std::optional<base::time_point> NewestAnswer(const answer_ages& ages) {
+std::optional<base::time_point> NewestResponseTime(const response_ages& ages) {
   std::optional<base::time_point> newest = ages.own_at;
-  for (const auto& [origin, each] : ages.heard) {
+  for (const auto& [origin, each] : ages.received) {
     if (!newest || each.at > *newest)
       newest = each.at;
   }
   return newest;
 }
 
-std::optional<told_answer> TellNewest(const answer_ages& ages,
-                                      base::time_point now) {
-  const auto newest = NewestAnswer(ages);
+std::optional<reported_response> ReportNewest(const response_ages& ages,
+                                              base::time_point now) {
+  const auto newest = NewestResponseTime(ages);
   if (!newest)
     return std::nullopt;
-  told_answer out;
+  reported_response out;
   out.stamp = ages.own;
   // Rounded up, so that an age never grows younger on its way.
   out.age = std::chrono::ceil<std::chrono::milliseconds>(now - *newest);
-  for (const auto& [origin, each] : ages.heard) {
+  for (const auto& [origin, each] : ages.received) {
     if (each.at == *newest)
       out.stamp = each.stamp;
   }
   return out;
 }
 
-bool OthersAnsweredWithin(const answer_ages& ages,
-                          std::chrono::milliseconds span,
-                          base::time_point now) {
-  return std::ranges::any_of(ages.heard, [&](const auto& each) {
+bool OthersRespondedWithin(const response_ages& ages,
+                           std::chrono::milliseconds span,
+                           base::time_point now) {
+  return std::ranges::any_of(ages.received, [&](const auto& each) {
     return now - each.second.at < span;
   });
 }
 
-bool MayLeaveToOthers(const answer_ages& ages,
-                      std::chrono::milliseconds span,
-                      base::time_point now) {
-  return std::ranges::any_of(ages.heard, [&](const auto& each) {
+bool MayStopFallbackRead(const response_ages& ages,
+                         std::chrono::milliseconds span,
+                         base::time_point now) {
+  return std::ranges::any_of(ages.received, [&](const auto& each) {
     const auto& [stamp, at] = each.second;
     const bool before = stamp.chosen || stamp.origin < ages.own.origin;
     return before && now - at < span;
--- a/src/decisions/response_age.h
+++ b/src/decisions/response_age.h
@@ -20,7 +20,7 @@
 namespace valeledge::decisions {
 
 // One answer of the service.
-struct answer_stamp {
+struct response_stamp {
   // The process that was answered: a number drawn at its start.
   std::int64_t origin = 0;
   // Answers to that process so far.
@@ -30,54 +30,54 @@
 };
 
 // An answer as one host tells another of it.
-struct told_answer {
-  answer_stamp stamp;
+struct reported_response {
+  response_stamp stamp;
   std::chrono::milliseconds age{0};
 };
 
 // What one host knows of the answers to all. Changed only by the functions
 // below.
-struct answer_ages {
-  struct heard_answer {
-    answer_stamp stamp;
+struct response_ages {
+  struct received_response {
+    response_stamp stamp;
     base::time_point at;
   };
 
   // Counts the answers to this process.
-  answer_stamp own;
+  response_stamp own;
   std::optional<base::time_point> own_at;
   // The newest answer to each other process, by origin.
-  std::map<std::int64_t, heard_answer> heard;
+  std::map<std::int64_t, received_response> received;
 };
 
 // The service has answered this process, which is chosen to follow it or not.
-void NoteOwnAnswer(answer_ages& ages, bool chosen, base::time_point now);
+void RecordOwnResponse(response_ages& ages, bool chosen, base::time_point now);
 
 // Another host tells of an answer. One that is known already, or that was
 // given to this process, changes nothing.
-void HearAnswer(answer_ages& ages,
-                const told_answer& told,
-                base::time_point now);
+void RecordReportedResponse(response_ages& ages,
+                            const reported_response& reported,
+                            base::time_point now);
 
 // When the service last answered any process that is known of.
-std::optional<base::time_point> NewestAnswer(const answer_ages& ages);
+std::optional<base::time_point> NewestResponseTime(const response_ages& ages);
 
 // The newest answer, for the others; nothing if there was none.
-std::optional<told_answer> TellNewest(const answer_ages& ages,
-                                      base::time_point now);
+std::optional<reported_response> ReportNewest(const response_ages& ages,
+                                              base::time_point now);
 
 // Whether the service answered any other process within `span`.
-bool OthersAnsweredWithin(const answer_ages& ages,
-                          std::chrono::milliseconds span,
-                          base::time_point now);
+bool OthersRespondedWithin(const response_ages& ages,
+                           std::chrono::milliseconds span,
+                           base::time_point now);
 
 // Whether a process that follows the service though it is not chosen may
 // leave that to others: one that is chosen was answered within `span`, or, of
 // those that stand in like this one, one with a smaller origin. Without that
 // order all who stand in would leave it to each other.
-bool MayLeaveToOthers(const answer_ages& ages,
-                      std::chrono::milliseconds span,
-                      base::time_point now);
+bool MayStopFallbackRead(const response_ages& ages,
+                         std::chrono::milliseconds span,
+                         base::time_point now);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/response_check.cc
+++ b/src/decisions/response_check.cc
@@ -3,8 +3,8 @@
 
 namespace valeledge::decisions {
 
-std::optional<chunk_fault> AcceptChunk(answer_progress& progress,
-                                       const answer_chunk& chunk) {
+std::optional<chunk_fault> AcceptChunk(response_progress& progress,
+                                       const response_chunk& chunk) {
   if (chunk.attempt != progress.attempt)
     return chunk_fault::kWrongAttempt;
   if (progress.finished)
--- a/src/decisions/response_check.h
+++ b/src/decisions/response_check.h
@@ -11,7 +11,7 @@
 namespace valeledge::decisions {
 
 // One chunk of a streamed answer as the backend server sent it.
-struct answer_chunk {
+struct response_chunk {
   // The attempt that the chunk belongs to.
   std::string attempt;
   // Number of the chunk's first token in the whole answer.
@@ -23,7 +23,7 @@
 };
 
 // Progress of one attempt's answer.
-struct answer_progress {
+struct response_progress {
   std::string attempt;
   // Tokens passed on so far, by this attempt and those before it.
   std::int64_t next_offset = 0;
@@ -39,8 +39,8 @@
 
 // Takes a chunk that may be passed on; a fault means that it must not be, and
 // that the attempt has failed.
-std::optional<chunk_fault> AcceptChunk(answer_progress& progress,
-                                       const answer_chunk& chunk);
+std::optional<chunk_fault> AcceptChunk(response_progress& progress,
+                                       const response_chunk& chunk);
 
 }  // namespace valeledge::decisions
 
--- a/src/decisions/slot_pool.cc
+++ b/src/decisions/slot_pool.cc
@@ -13,50 +13,51 @@
 
 // Requests at a server beyond its slots: while news of an end is on its way the
 // next one is there already.
-constexpr std::int64_t kBeyondSlots = 1;
+constexpr std::int64_t kMaxQueuedPerServer = 1;
 
 // A place that nobody gave back falls back after so long: whoever had it has
 // ended or is cut off.
-constexpr std::chrono::seconds kLongestTaken{3};
+constexpr std::chrono::seconds kSlotTimeout{3};
 
 // After it has turned a request away a server gets none for so long.
-constexpr std::chrono::milliseconds kRest{30};
+constexpr std::chrono::milliseconds kRejectionBackoff{30};
 
 // A place that is free is taken at once, however long the last ones took: only
 // requests that are sent tell how long they take now.
-constexpr milliseconds kLeastPatience{1};
+constexpr milliseconds kMinQueueWait{1};
 
 // Weight of the newest request in the smoothed time.
 constexpr double kSmoothing = 0.05;
 
-std::int64_t TotalSlots(const place_ledger& ledger) {
+std::int64_t TotalSlots(const slot_pool& pool) {
   std::int64_t slots = 0;
-  for (const auto& [name, server] : ledger.servers)
+  for (const auto& [name, server] : pool.servers)
     slots += server.slots;
   return slots;
 }
 
-bool HasRoom(const dealt_server& server) {
-  return static_cast<std::int64_t>(server.taken.size()) <
-         server.slots + kBeyondSlots;
+bool HasFreeSlot(const pooled_server& server) {
+  return static_cast<std::int64_t>(server.allocated.size()) <
+         server.slots + kMaxQueuedPerServer;
 }
 
-double Load(const dealt_server& server) {
-  return static_cast<double>(server.taken.size()) /
+double Load(const pooled_server& server) {
+  return static_cast<double>(server.allocated.size()) /
          static_cast<double>(server.slots);
 }
 
 // The least loaded server that has room and is not avoided; null if there is
 // none.
-std::pair<const std::string, dealt_server>* FindRoom(place_ledger& ledger,
-                                                     const place_wish& wish,
-                                                     base::time_point now) {
-  std::pair<const std::string, dealt_server>* best = nullptr;
-  for (auto& each : ledger.servers) {
+std::pair<const std::string, pooled_server>* FindFreeServer(
+    slot_pool& pool,
+    const slot_request& request,
+    base::time_point now) {
+  std::pair<const std::string, pooled_server>* best = nullptr;
+  for (auto& each : pool.servers) {
     const bool avoided =
-        std::ranges::find(wish.avoid, each.first) != wish.avoid.end();
-    const bool rests = now < each.second.rests_until;
-    if (avoided || rests || !HasRoom(each.second))
+        std::ranges::find(request.avoid, each.first) != request.avoid.end();
+    const bool backs_off = now < each.second.backoff_until;
+    if (avoided || backs_off || !HasFreeSlot(each.second))
       continue;
     if (best == nullptr || Load(each.second) < Load(best->second))
       best = &each;
@@ -66,99 +67,100 @@
 
 }  // namespace
 
-void SetServers(place_ledger& ledger,
+void SetServers(slot_pool& pool,
                 const std::map<std::string, server_capacity>& usable) {
-  std::erase_if(ledger.servers,
+  std::erase_if(pool.servers,
                 [&](const auto& each) { return !usable.contains(each.first); });
   for (const auto& [name, capacity] : usable) {
-    dealt_server& server = ledger.servers[name];
+    pooled_server& server = pool.servers[name];
     server.slots = std::max<std::int64_t>(capacity.slots, 1);
-    server.pause = capacity.pause;
+    server.allocation_interval = capacity.allocation_interval;
   }
 }
 
-std::chrono::milliseconds PatienceOf(const place_ledger& ledger,
-                                     std::chrono::milliseconds left) {
-  const milliseconds spare = (milliseconds(left) - ledger.usual) / 2;
+std::chrono::milliseconds MaxQueueWait(const slot_pool& pool,
+                                       std::chrono::milliseconds left) {
+  const milliseconds spare =
+      (milliseconds(left) - pool.typical_service_time) / 2;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      std::max(spare, kLeastPatience));
+      std::max(spare, kMinQueueWait));
 }
 
-std::optional<std::chrono::milliseconds> ExpectedWait(
-    const place_ledger& ledger,
-    std::int64_t priority) {
-  const std::int64_t slots = TotalSlots(ledger);
+std::optional<std::chrono::milliseconds> ExpectedWait(const slot_pool& pool,
+                                                      std::int64_t priority) {
+  const std::int64_t slots = TotalSlots(pool);
   if (slots == 0)
     return std::nullopt;
   std::int64_t ahead = 0;
-  for (const auto& [name, server] : ledger.servers)
-    ahead += static_cast<std::int64_t>(server.taken.size());
-  ahead += std::ranges::count_if(ledger.waiting, [&](const place_wish& each) {
+  for (const auto& [name, server] : pool.servers)
+    ahead += static_cast<std::int64_t>(server.allocated.size());
+  ahead += std::ranges::count_if(pool.queue, [&](const slot_request& each) {
     return each.priority <= priority;
   });
-  const auto beyond =
+  const auto excess =
       static_cast<double>(std::max<std::int64_t>(ahead + 1 - slots, 0));
   return std::chrono::ceil<std::chrono::milliseconds>(
-      ledger.usual * (beyond / static_cast<double>(slots)));
+      pool.typical_service_time * (excess / static_cast<double>(slots)));
 }
 
-std::int64_t AddWish(place_ledger& ledger, place_wish wish) {
-  wish.number = ++ledger.last_number;
-  ledger.waiting.push_back(std::move(wish));
-  return ledger.last_number;
+std::int64_t AddSlotRequest(slot_pool& pool, slot_request request) {
+  request.number = ++pool.last_number;
+  pool.queue.push_back(std::move(request));
+  return pool.last_number;
 }
 
-std::vector<dealt_place> Deal(place_ledger& ledger, base::time_point now) {
-  std::vector<dealt_place> out;
-  std::ranges::sort(ledger.waiting, {}, [](const place_wish& each) {
-    return std::tie(each.priority, each.due, each.number);
+std::vector<slot_allocation> AllocateSlots(slot_pool& pool,
+                                           base::time_point now) {
+  std::vector<slot_allocation> out;
+  std::ranges::sort(pool.queue, {}, [](const slot_request& each) {
+    return std::tie(each.priority, each.deadline, each.number);
   });
-  std::erase_if(ledger.waiting, [&](const place_wish& wish) {
-    auto* room = FindRoom(ledger, wish, now);
-    if (room == nullptr)
+  std::erase_if(pool.queue, [&](const slot_request& request) {
+    auto* free_server = FindFreeServer(pool, request, now);
+    if (free_server == nullptr)
       return false;
-    room->second.taken[wish.number] = now + kLongestTaken;
-    if (room->second.pause.count() > 0)
-      room->second.rests_until = now + room->second.pause;
-    out.push_back({wish.number, room->first});
+    free_server->second.allocated[request.number] = now + kSlotTimeout;
+    if (free_server->second.allocation_interval.count() > 0)
+      free_server->second.backoff_until =
+          now + free_server->second.allocation_interval;
+    out.push_back({request.number, free_server->first});
     return true;
   });
   return out;
 }
 
-std::vector<std::int64_t> Expire(place_ledger& ledger, base::time_point now) {
-  for (auto& [name, server] : ledger.servers) {
-    std::erase_if(server.taken,
+std::vector<std::int64_t> Expire(slot_pool& pool, base::time_point now) {
+  for (auto& [name, server] : pool.servers) {
+    std::erase_if(server.allocated,
                   [&](const auto& each) { return each.second <= now; });
   }
   std::vector<std::int64_t> dropped;
-  std::erase_if(ledger.waiting, [&](const place_wish& wish) {
-    const bool is_due = wish.due <= now;
-    if (is_due)
-      dropped.push_back(wish.number);
-    return is_due;
+  std::erase_if(pool.queue, [&](const slot_request& request) {
+    const bool is_overdue = request.deadline <= now;
+    if (is_overdue)
+      dropped.push_back(request.number);
+    return is_overdue;
   });
   return dropped;
 }
 
-void Rest(place_ledger& ledger,
-          const std::string& server,
-          base::time_point now) {
-  const auto found = ledger.servers.find(server);
-  if (found != ledger.servers.end())
-    found->second.rests_until =
-        std::max(found->second.rests_until, now + kRest);
+void BackOff(slot_pool& pool, const std::string& server, base::time_point now) {
+  const auto found = pool.servers.find(server);
+  if (found != pool.servers.end())
+    found->second.backoff_until =
+        std::max(found->second.backoff_until, now + kRejectionBackoff);
 }
 
-void GiveBackPlace(place_ledger& ledger,
-                   const std::string& server,
-                   std::int64_t number,
-                   std::optional<milliseconds> took) {
-  const auto found = ledger.servers.find(server);
-  if (found == ledger.servers.end() || found->second.taken.erase(number) == 0)
+void ReleaseSlot(slot_pool& pool,
+                 const std::string& server,
+                 std::int64_t number,
+                 std::optional<milliseconds> took) {
+  const auto found = pool.servers.find(server);
+  if (found == pool.servers.end() || found->second.allocated.erase(number) == 0)
     return;
   if (took)
-    ledger.usual += kSmoothing * (*took - ledger.usual);
+    pool.typical_service_time +=
+        kSmoothing * (*took - pool.typical_service_time);
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/snapshot_fetches.cc
+++ b/src/decisions/snapshot_fetches.cc
@@ -8,67 +8,69 @@
 namespace {
 
 // Whether what was asked for may be expected to come without another peer.
-bool IsComing(const copy_fetches& fetches, base::time_point now) {
-  return std::ranges::any_of(fetches.asked, [&](const auto& each) {
-    const copy_fetch& fetch = each.second;
-    return now - fetch.heard < kCopyPatience && now - fetch.begun < kSlowCopy;
+bool IsFetchProgressing(const snapshot_fetches& fetches, base::time_point now) {
+  return std::ranges::any_of(fetches.pending, [&](const auto& each) {
+    const snapshot_fetch& fetch = each.second;
+    return now - fetch.received_at < kSnapshotStallTime &&
+           now - fetch.started_at < kSlowSnapshotTime;
   });
 }
 
 }  // namespace
 
-bool BeginFetch(copy_fetches& fetches,
-                const base::endpoint& peer,
-                bool same_zone,
-                base::time_point now) {
-  if (!fetches.behind_since)
-    fetches.behind_since = now;
-  if (!same_zone && now - *fetches.behind_since < kOwnZoneFirst)
+bool TryStartFetch(snapshot_fetches& fetches,
+                   const base::endpoint& peer,
+                   bool same_zone,
+                   base::time_point now) {
+  if (!fetches.stale_since)
+    fetches.stale_since = now;
+  if (!same_zone && now - *fetches.stale_since < kSameZoneOnlyTime)
     return false;
-  if (fetches.asked.size() >= kMostCopies || IsComing(fetches, now))
+  if (fetches.pending.size() >= kMaxConcurrentFetches ||
+      IsFetchProgressing(fetches, now))
     return false;
-  return fetches.asked.try_emplace(peer, copy_fetch{now, 0, now}).second;
+  return fetches.pending.try_emplace(peer, snapshot_fetch{now, 0, now}).second;
 }
 
-void NoteAsked(copy_fetches& fetches,
-               const base::endpoint& peer,
-               base::time_point now) {
-  fetches.asked.insert_or_assign(peer, copy_fetch{now, 0, now});
+void StartFetch(snapshot_fetches& fetches,
+                const base::endpoint& peer,
+                base::time_point now) {
+  fetches.pending.insert_or_assign(peer, snapshot_fetch{now, 0, now});
 }
 
-void NoteBytes(copy_fetches& fetches,
-               const base::endpoint& peer,
-               std::int64_t bytes,
-               base::time_point heard) {
-  const auto found = fetches.asked.find(peer);
-  if (found == fetches.asked.end() || found->second.bytes >= bytes)
+void RecordBytes(snapshot_fetches& fetches,
+                 const base::endpoint& peer,
+                 std::int64_t bytes,
+                 base::time_point received_at) {
+  const auto found = fetches.pending.find(peer);
+  if (found == fetches.pending.end() || found->second.bytes >= bytes)
     return;
   found->second.bytes = bytes;
-  found->second.heard = heard;
+  found->second.received_at = received_at;
 }
 
-base::time_point GiveUpAt(const copy_fetches& fetches,
-                          const base::endpoint& peer) {
-  const auto found = fetches.asked.find(peer);
-  if (found == fetches.asked.end())
+base::time_point FetchDeadline(const snapshot_fetches& fetches,
+                               const base::endpoint& peer) {
+  const auto found = fetches.pending.find(peer);
+  if (found == fetches.pending.end())
     return {};
-  return found->second.heard + kCopySilence;
+  return found->second.received_at + kSnapshotIdleTimeout;
 }
 
-void NoteCopy(copy_fetches& fetches) {
-  fetches.behind_since.reset();
+void RecordSnapshot(snapshot_fetches& fetches) {
+  fetches.stale_since.reset();
 }
 
-std::chrono::milliseconds BehindFor(const copy_fetches& fetches,
-                                    base::time_point now) {
-  if (!fetches.behind_since)
+std::chrono::milliseconds StaleFor(const snapshot_fetches& fetches,
+                                   base::time_point now) {
+  if (!fetches.stale_since)
     return std::chrono::milliseconds(0);
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      now - *fetches.behind_since);
+      now - *fetches.stale_since);
 }
 
-void EndFetch(copy_fetches& fetches, const base::endpoint& peer) {
-  fetches.asked.erase(peer);
+void EndFetch(snapshot_fetches& fetches, const base::endpoint& peer) {
+  fetches.pending.erase(peer);
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/snapshot_serving.cc
+++ b/src/decisions/snapshot_serving.cc
@@ -3,12 +3,12 @@
 
 namespace valeledge::decisions {
 
-bool MayGiveCopy(std::int64_t queued, double link_bytes_per_second) {
-  const double link =
-      link_bytes_per_second > 0 ? link_bytes_per_second : kUsualLinkBytes;
+bool MaySendSnapshot(std::int64_t queued, double link_bytes_per_second) {
+  const double link = link_bytes_per_second > 0 ? link_bytes_per_second
+                                                : kDefaultLinkBytesPerSecond;
   const std::chrono::duration<double> drained(static_cast<double>(queued) /
                                               link);
-  return drained <= kGiveWithin;
+  return drained <= kMaxDrainTime;
 }
 
 }  // namespace valeledge::decisions
--- a/src/decisions/snapshot_serving.h
+++ b/src/decisions/snapshot_serving.h
@@ -14,14 +14,14 @@
 // A copy is given if what waits to be sent has left after so long: half of
 // what a copy of 750 KB takes on a link of 10 Mbit/s, and time for eight hosts
 // on such links beside a source with twenty times as much.
-inline constexpr std::chrono::milliseconds kGiveWithin{300};
+inline constexpr std::chrono::milliseconds kMaxDrainTime{300};
 
 // A link of which nothing is known.
-inline constexpr double kUsualLinkBytes = 100e6 / 8;
+inline constexpr double kDefaultLinkBytesPerSecond = 100e6 / 8;
 
 // Whether a copy may be given now to one who asks. `queued` bytes wait to be
 // sent to all hosts over a link of so many bytes a second (0: not known).
-bool MayGiveCopy(std::int64_t queued, double link_bytes_per_second);
+bool MaySendSnapshot(std::int64_t queued, double link_bytes_per_second);
 
 }  // namespace valeledge::decisions
 
--- a/src/gateway/process/ending_requests.cc
+++ b/src/gateway/process/ending_requests.cc
@@ -25,7 +25,7 @@
 std::optional<milliseconds> ending_requests::HeldFor(std::uint64_t digest) {
   const auto now = std::chrono::steady_clock::now();
   Refresh(now);
-  return decisions::HeldFor(known_, digest, now);
+  return decisions::RemainingQuarantine(known_, digest, now);
 }
 
 void ending_requests::NoteEnd(std::uint64_t digest,
@@ -33,22 +33,22 @@
                               microseconds took) {
   const auto now = std::chrono::steady_clock::now();
   const auto hash = static_cast<std::int32_t>(base::StableHash(server));
-  const decisions::server_end end{hash, now - took, now};
+  const decisions::server_crash end{hash, now - took, now};
   Tell({digest, end, now});
-  if (decisions::NoteEnd(known_, digest, end, now))
+  if (decisions::RecordCrash(known_, digest, end, now))
     LogHeld(digest);
 }
 
 void ending_requests::NoteWhole(std::uint64_t digest) {
-  if (!decisions::NoteWhole(known_, digest))
+  if (!decisions::RecordCompleteResponse(known_, digest))
     return;
   Tell({digest, std::nullopt, std::chrono::steady_clock::now()});
 }
 
-void ending_requests::Tell(const decisions::quarantine_fact& fact) {
-  decisions::AddFact(told_, fact);
+void ending_requests::Tell(const decisions::quarantine_observation& fact) {
+  decisions::AddObservation(told_, fact);
   node_.AnnounceRecord(std::string(kEndsPrefix) + node_.id(),
-                       wire::Encode(decisions::NewsOf(told_, fact.at)));
+                       wire::Encode(decisions::MakeUpdate(told_, fact.at)));
 }
 
 void ending_requests::Refresh(base::time_point now) {
@@ -65,7 +65,8 @@
     if (!news)
       continue;
     decisions::DropCleared(told_, *news);
-    for (const std::uint64_t digest : decisions::TakeNews(known_, *news, now))
+    for (const std::uint64_t digest :
+         decisions::ApplyUpdate(known_, *news, now))
       LogHeld(digest);
   }
 }
--- a/src/gateway/process/ending_requests.h
+++ b/src/gateway/process/ending_requests.h
@@ -40,12 +40,12 @@
  private:
   // Takes in what others have told since the last call.
   void Refresh(base::time_point now);
-  void Tell(const decisions::quarantine_fact& fact);
+  void Tell(const decisions::quarantine_observation& fact);
 
   node::node& node_;
   decisions::quarantine known_;
   // What this gateway has seen lately.
-  decisions::quarantine_facts told_;
+  decisions::quarantine_observations told_;
   // The newest record of each gateway that was taken in.
   std::map<std::string, std::int64_t, std::less<>> taken_;
 };
--- a/src/gateway/request/attempt.cc
+++ b/src/gateway/request/attempt.cc
@@ -55,14 +55,14 @@
 
 // The state of reading one attempt's answer.
 struct answer_reading {
-  decisions::answer_progress progress;
+  decisions::response_progress progress;
   event_reader events;
   bool end_seen = false;
   bool caller_gone = false;
 };
 
-base::result<decisions::answer_chunk> CheckEvent(answer_reading& reading,
-                                                 const std::string& data) {
+base::result<decisions::response_chunk> CheckEvent(answer_reading& reading,
+                                                   const std::string& data) {
   auto chunk = ParseChunk(data);
   if (!chunk) {
     return base::Unknown(result_code::kAnswerBroken,
@@ -136,15 +136,16 @@
   co_return base::result<void>();
 }
 
-decisions::broken_attempt BrokenAttemptOf(
+decisions::interrupted_attempt BrokenAttemptOf(
     const base::error& failed,
     base::time_point started,
     std::chrono::microseconds first_token) {
-  decisions::broken_attempt out;
+  decisions::interrupted_attempt out;
   out.connection_lost = failed.connection_lost;
   if (first_token.count() > 0) {
-    out.answering = std::chrono::duration_cast<std::chrono::milliseconds>(
-        std::chrono::steady_clock::now() - started - first_token);
+    out.response_duration =
+        std::chrono::duration_cast<std::chrono::milliseconds>(
+            std::chrono::steady_clock::now() - started - first_token);
   }
   return out;
 }
@@ -176,7 +177,7 @@
     out.told.what_ran = opened.error().what_ran;
     out.told.unreachable = true;
     out.told.server_ended =
-        decisions::IsSuspect({opened.error().connection_lost, {}});
+        decisions::MayHaveCrashedServer({opened.error().connection_lost, {}});
     out.ended = tl::make_unexpected(opened.error());
     co_return out;
   }
@@ -197,7 +198,7 @@
     co_return out;
   }
   const chunk_sink noting =
-      [&](const decisions::answer_chunk& chunk) -> asio::awaitable<bool> {
+      [&](const decisions::response_chunk& chunk) -> asio::awaitable<bool> {
     if (out.told.first_token.count() == 0) {
       out.told.first_token =
           std::chrono::duration_cast<std::chrono::microseconds>(
@@ -208,7 +209,7 @@
   out.ended = co_await ReadAnswer(request, frame, answer, noting);
   if (!out.ended) {
     (*opened)->Abandon();
-    out.told.server_ended = decisions::IsSuspect(
+    out.told.server_ended = decisions::MayHaveCrashedServer(
         BrokenAttemptOf(out.ended.error(), started, out.told.first_token));
   }
   frame.open.reset();
--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -20,8 +20,8 @@
 namespace valeledge::gateway {
 
 // Takes one checked chunk; false if the caller is gone.
-using chunk_sink =
-    std::function<boost::asio::awaitable<bool>(const decisions::answer_chunk&)>;
+using chunk_sink = std::function<boost::asio::awaitable<bool>(
+    const decisions::response_chunk&)>;
 
 // The part of an answer that earlier attempts have passed on.
 struct answer_so_far {
--- a/src/gateway/request/chat_exchange.cc
+++ b/src/gateway/request/chat_exchange.cc
@@ -37,7 +37,7 @@
  private:
   grant_wish Wish() const;
   asio::awaitable<base::result<void>> Attempt();
-  asio::awaitable<bool> TakeChunk(const decisions::answer_chunk& chunk);
+  asio::awaitable<bool> TakeChunk(const decisions::response_chunk& chunk);
   asio::awaitable<void> Complete();
   asio::awaitable<void> Fail(base::error failed);
   void NoteChunk();
@@ -87,7 +87,7 @@
 }
 
 asio::awaitable<bool> chat_exchange::TakeChunk(
-    const decisions::answer_chunk& chunk) {
+    const decisions::response_chunk& chunk) {
   NoteChunk();
   if (!request_.stream)
     co_return !responder_.caller_gone();
@@ -128,7 +128,7 @@
     end.told.what_ran = base::outcome::kNotRun;
     end.ended = base::NotRun(result_code::kCallerGone, "the caller is gone");
   } else {
-    const chunk_sink sink = [this](const decisions::answer_chunk& chunk) {
+    const chunk_sink sink = [this](const decisions::response_chunk& chunk) {
       return TakeChunk(chunk);
     };
     end = co_await RunChatAttempt(
--- a/src/gateway/request/event_reader.cc
+++ b/src/gateway/request/event_reader.cc
@@ -50,7 +50,7 @@
   return pending_.size() - start_ > kMaxEventBytes;
 }
 
-std::optional<decisions::answer_chunk> ParseChunk(std::string_view data) {
+std::optional<decisions::response_chunk> ParseChunk(std::string_view data) {
   const auto object = base::ParseJsonObject(data);
   if (!object)
     return std::nullopt;
@@ -58,7 +58,7 @@
   if (choices == nullptr || choices->empty() || !choices->front().is_object())
     return std::nullopt;
   const json::object& choice = choices->front().get_object();
-  decisions::answer_chunk chunk;
+  decisions::response_chunk chunk;
   chunk.attempt = base::StringField(*object, "id");
   chunk.offset = base::IntegerField(*object, "offset", -1);
   chunk.tokens = base::IntegerField(*object, "tokens", 1);
--- a/src/gateway/request/event_reader.h
+++ b/src/gateway/request/event_reader.h
@@ -32,7 +32,7 @@
 };
 
 // The chunk in an event's data; nothing if it is not a chunk.
-std::optional<decisions::answer_chunk> ParseChunk(std::string_view data);
+std::optional<decisions::response_chunk> ParseChunk(std::string_view data);
 
 }  // namespace valeledge::gateway
 
--- a/src/gateway/request/service_exchange.cc
+++ b/src/gateway/request/service_exchange.cc
@@ -240,7 +240,7 @@
     told.what_ran = answer.error().what_ran;
     told.unreachable = answer.error().code == result_code::kBackendUnreachable;
     told.server_ended =
-        decisions::IsSuspect({answer.error().connection_lost, {}});
+        decisions::MayHaveCrashedServer({answer.error().connection_lost, {}});
     avoid_.push_back(given->server);
     NoteAttemptFailed(front_, kCategory, call_.frame, *given, answer.error());
   }
--- a/src/host/process/certainty_duty.cc
+++ b/src/host/process/certainty_duty.cc
@@ -72,13 +72,13 @@
   const auto& bound = core_.settings.keys.revoked_within;
   if (!NeedsKeys() || !bound)
     return false;
-  const auto age = decisions::AgeOf(core_.certainty, boot_clock::now());
-  return decisions::JudgeKey(true, age, core_.settings.keys) !=
-         decisions::key_verdict::kGood;
+  const auto age = decisions::DataAge(core_.certainty, boot_clock::now());
+  return decisions::CheckKey(true, age, core_.settings.keys) !=
+         decisions::key_verdict::kValid;
 }
 
 void certainty_duty::NoteRevision() {
-  decisions::NoteRevision(core_.certainty, links_.revision());
+  decisions::RecordRevision(core_.certainty, links_.revision());
   // A host that has just got its first copy serves nobody until it is certain.
   if (NeedsKeys() && !has_asked_)
     Ask();
@@ -86,8 +86,8 @@
 
 void certainty_duty::NoteComplete(decisions::boot_time asked) {
   const std::int64_t revision = links_.revision();
-  decisions::NoteReading(core_.certainty, {asked, revision}, revision,
-                         boot_clock::now());
+  decisions::RecordStoreRead(core_.certainty, {asked, revision}, revision,
+                             boot_clock::now());
 }
 
 bool certainty_duty::NeedsKeys() const {
@@ -113,9 +113,9 @@
     return;
   const auto now = boot_clock::now();
   answered_at_ = now;
-  decisions::NoteReading(core_.certainty,
-                         {FromMicroseconds(reading.asked_us), reading.revision},
-                         links_.revision(), now);
+  decisions::RecordStoreRead(
+      core_.certainty, {FromMicroseconds(reading.asked_us), reading.revision},
+      links_.revision(), now);
 }
 
 void certainty_duty::Await(question asked) {
@@ -184,7 +184,7 @@
   const bool uncertain = IsUncertain();
   if (std::exchange(was_uncertain_, uncertain) == uncertain)
     return;
-  const auto age = decisions::AgeOf(core_.certainty, boot_clock::now());
+  const auto age = decisions::DataAge(core_.certainty, boot_clock::now());
   base::Log(
       kCategory,
       uncertain ? log_event::kKeysNotCertain : log_event::kKeysCertain,
--- a/src/host/process/copy_duty.cc
+++ b/src/host/process/copy_duty.cc
@@ -56,19 +56,20 @@
   // Without any copy there is no time to be choosy.
   const bool near = same_zone || mirror_.revision() == 0;
   if (!mirror_.WantsCopy() ||
-      !decisions::BeginFetch(fetches_, peer, near, now)) {
+      !decisions::TryStartFetch(fetches_, peer, near, now)) {
     return;
   }
   asio::co_spawn(core_.context, Fetch(peer), asio::detached);
 }
 
 milliseconds copy_duty::BehindFor() const {
-  return decisions::BehindFor(fetches_, std::chrono::steady_clock::now());
+  return decisions::StaleFor(fetches_, std::chrono::steady_clock::now());
 }
 
 wire::envelope copy_duty::Give(const wire::mirror_request& wanted) {
   wire::envelope reply;
-  if (decisions::MayGiveCopy(peers_.QueuedBytes(), core_.settings.link_bytes)) {
+  if (decisions::MaySendSnapshot(peers_.QueuedBytes(),
+                                 core_.settings.link_bytes)) {
     reply.__set_mirror(mirror_.CopyFor(wanted));
     return reply;
   }
@@ -89,8 +90,8 @@
   // A named one: the compiler (GCC 12) destroys a temporary function twice that
   // is made within an awaited call.
   net::reply_limit limit = [this, peer](const net::reply_progress& progress) {
-    decisions::NoteBytes(fetches_, peer, progress.bytes, progress.heard);
-    return decisions::GiveUpAt(fetches_, peer);
+    decisions::RecordBytes(fetches_, peer, progress.bytes, progress.heard);
+    return decisions::FetchDeadline(fetches_, peer);
   };
   const auto reply =
       co_await peers_.CallForCopy(peer, std::move(call), std::move(limit));
@@ -98,7 +99,7 @@
   LogEnd(peer, wanted.since, end, reply);
   if (end == fetch_end::kTaken) {
     // Also if it is no newer than what has come meanwhile.
-    decisions::NoteCopy(fetches_);
+    decisions::RecordSnapshot(fetches_);
     DropOthers(peer);
   }
   asio::steady_timer timer(core_.context, kCopyPause);
@@ -119,7 +120,7 @@
 }
 
 void copy_duty::DropOthers(const base::endpoint& giver) {
-  for (const auto& [peer, fetch] : fetches_.asked) {
+  for (const auto& [peer, fetch] : fetches_.pending) {
     if (peer != giver)
       peers_.DropCopy(peer);
   }
@@ -129,12 +130,12 @@
                        std::int64_t since,
                        fetch_end end,
                        const base::result<wire::envelope>& reply) {
-  const decisions::copy_fetch& fetch = fetches_.asked.at(peer);
+  const decisions::snapshot_fetch& fetch = fetches_.pending.at(peer);
   core_.metrics.Counter("valeledge_copy_bytes_total").Add(fetch.bytes);
   core_.metrics.Counter("valeledge_copies_total", NameOf(end)).Add();
   const bool taken = end == fetch_end::kTaken;
   const auto took = std::chrono::duration_cast<milliseconds>(
-      std::chrono::steady_clock::now() - fetch.begun);
+      std::chrono::steady_clock::now() - fetch.started_at);
   const bool expected = end == fetch_end::kBusy || end == fetch_end::kNotNeeded;
   if (expected || (taken && took < kLoggedCopy))
     return;
@@ -144,7 +145,7 @@
              {"after_ms", took.count()},
              {"from_revision", since},
              {"to_revision", taken ? reply->mirror.revision : 0},
-             {"asked", static_cast<std::int64_t>(fetches_.asked.size())},
+             {"asked", static_cast<std::int64_t>(fetches_.pending.size())},
              {"reason", reply ? NameOf(end) : reply.error().message}});
 }
 
--- a/src/host/process/copy_duty.h
+++ b/src/host/process/copy_duty.h
@@ -25,7 +25,7 @@
   // A peer, of this host's availability zone or not, has a newer copy.
   void HearNewer(const base::endpoint& peer, bool same_zone);
   // This host has something newer than before, from a peer or the store.
-  void NoteAdvanced() { decisions::NoteCopy(fetches_); }
+  void NoteAdvanced() { decisions::RecordSnapshot(fetches_); }
   // How long a newer copy has been known of that has not come.
   std::chrono::milliseconds BehindFor() const;
   // The reply to a peer that asks for this host's copy; tells it to ask another
@@ -60,7 +60,7 @@
   host_core& core_;
   store_mirror& mirror_;
   peer_link& peers_;
-  decisions::copy_fetches fetches_;
+  decisions::snapshot_fetches fetches_;
 };
 
 }  // namespace valeledge::host
--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -226,13 +226,14 @@
     const bool own = mirror_.Value(std::string(store::kLeaderKey)).has_value();
     std::uniform_real_distribution<double> any(0, 1);
     return own ? milliseconds(0)
-               : decisions::LeaseTurn(core_.settings.cores, any(core_.random));
+               : decisions::LeaseAcquireDelay(core_.settings.cores,
+                                              any(core_.random));
   });
   core_.use_changed = [this](const known_server& server) {
     loads_.ReportUse(server);
   };
   core_.server_ended = [this](std::uint64_t digest,
-                              const decisions::server_end& end) {
+                              const decisions::server_crash& end) {
     quarantine_.NoteEnd(digest, end);
   };
   core_.suspect_answered = [this](std::uint64_t digest) {
@@ -242,7 +243,7 @@
       [this](const std::string& instance) { return IsWellKnown(instance); });
   core_.servers.SetColdShare([this] { return ColdShare(); });
   core_.is_behind = [this] {
-    return copies_.BehindFor() >= decisions::kBehindAfter;
+    return copies_.BehindFor() >= decisions::kStaleAfter;
   };
   core_.want_adapter = [this](std::string service, std::string model,
                               std::string adapter, milliseconds timeout) {
@@ -330,7 +331,7 @@
   most_hosts_ = std::max(most_hosts_, peers_.CountKnown());
   decisions::cold_share share;
   share.hosts = most_hosts_;
-  share.settled =
+  share.peers_known =
       std::chrono::steady_clock::now() - core_.started >= kHostsKnown;
   return share;
 }
@@ -360,11 +361,11 @@
   set("valeledge_store_age_ms",
       mirror_.Age().value_or(milliseconds(kUnknownAge)).count());
   set("valeledge_held_requests",
-      static_cast<std::int64_t>(decisions::CountHeld(
+      static_cast<std::int64_t>(decisions::CountQuarantined(
           core_.quarantine, std::chrono::steady_clock::now())));
   set("valeledge_copy_behind_ms", copies_.BehindFor().count());
   const auto certainty =
-      decisions::AgeOf(core_.certainty, base::boot_clock::now());
+      decisions::DataAge(core_.certainty, base::boot_clock::now());
   set("valeledge_key_certainty_ms",
       certainty.value_or(milliseconds(kUnknownAge)).count());
   set("valeledge_lease_term", lease_.CertainTerm());
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -54,13 +54,13 @@
   // The configuration in force; null before the first one is known.
   std::shared_ptr<const catalog::configuration> configuration;
   // How old the certainty is with which this host knows which keys are good.
-  decisions::key_certainty certainty;
+  decisions::key_freshness certainty;
   retry_budgets retries{settings, metrics, started};
   // Requests under which servers end.
   decisions::quarantine quarantine;
   // A server has ended while a request of this host was there; tells the
   // others.
-  std::function<void(std::uint64_t digest, const decisions::server_end& end)>
+  std::function<void(std::uint64_t digest, const decisions::server_crash& end)>
       server_ended;
   // A request that was suspected has been answered whole; tells the others.
   std::function<void(std::uint64_t digest)> suspect_answered;
--- a/src/host/process/load_reports.cc
+++ b/src/host/process/load_reports.cc
@@ -33,14 +33,14 @@
 constexpr std::int32_t kUnknownAge = -1;
 
 // What a host tells of the store's newest answer.
-decisions::told_answer ToldAnswerOf(const wire::host_load& load) {
-  decisions::told_answer told;
+decisions::reported_response ToldAnswerOf(const wire::host_load& load) {
+  decisions::reported_response told;
   told.stamp = {load.answered_process, load.answer_count, load.answered_chosen};
   told.age = milliseconds(load.store_age_ms);
   return told;
 }
 
-void PutAnswer(const std::optional<decisions::told_answer>& told,
+void PutAnswer(const std::optional<decisions::reported_response>& told,
                wire::host_load& load) {
   load.store_age_ms = kUnknownAge;
   if (!told)
--- a/src/host/process/place_duty.cc
+++ b/src/host/process/place_duty.cc
@@ -67,7 +67,7 @@
       continue;
     const bool cold = kind != nullptr && server->IsCold(*kind, now);
     out[instance] =
-        cold ? decisions::server_capacity{1, decisions::ColdDealPause(
+        cold ? decisions::server_capacity{1, decisions::ColdAllocationInterval(
                                                  kind->cold_rate)}
              : decisions::server_capacity{server->entry.slots};
   }
@@ -84,7 +84,8 @@
                          base::time_point now) {
   decisions::SetServers(dealt.ledger, UsableServers(core_, service, now));
   decisions::Expire(dealt.ledger, now);
-  for (const auto& [number, server] : decisions::Deal(dealt.ledger, now)) {
+  for (const auto& [number, server] :
+       decisions::AllocateSlots(dealt.ledger, now)) {
     waiter& found = dealt.waiters.at(number);
     found.server = server;
     found.timer->cancel();
@@ -99,7 +100,7 @@
   const auto now = std::chrono::steady_clock::now();
   deal& dealt = deals_[question.service_name];
   const auto patience =
-      decisions::PatienceOf(dealt.ledger, milliseconds(question.left_ms));
+      decisions::MaxQueueWait(dealt.ledger, milliseconds(question.left_ms));
   DealOut(question.service_name, dealt, now);
   const auto expected =
       decisions::ExpectedWait(dealt.ledger, question.priority);
@@ -107,12 +108,12 @@
     co_return Reply(place_verdict::kNotDealt);
   if (*expected > patience)
     co_return NoneInTime(*expected - patience);
-  decisions::place_wish wish;
+  decisions::slot_request wish;
   wish.priority = question.priority;
-  wish.due = now + patience;
+  wish.deadline = now + patience;
   wish.avoid = std::move(question.avoid);
-  const std::int64_t number = decisions::AddWish(dealt.ledger, wish);
-  asio::steady_timer timer(core_.context, wish.due);
+  const std::int64_t number = decisions::AddSlotRequest(dealt.ledger, wish);
+  asio::steady_timer timer(core_.context, wish.deadline);
   dealt.waiters[number] = {&timer, {}};
   DealOut(question.service_name, dealt, now);
   if (dealt.waiters[number].server.empty())
@@ -133,17 +134,17 @@
   const auto found = deals_.find(end.service_name);
   if (found == deals_.end())
     return;
-  decisions::place_ledger& ledger = found->second.ledger;
+  decisions::slot_pool& ledger = found->second.ledger;
   const auto now = std::chrono::steady_clock::now();
   const auto how = static_cast<place_end_kind>(end.how);
   std::optional<std::chrono::duration<double, std::milli>> took;
   if (how == place_end_kind::kAnswered)
     took = microseconds(end.took_us);
-  decisions::GiveBackPlace(ledger, end.server, end.number, took);
+  decisions::ReleaseSlot(ledger, end.server, end.number, took);
   const bool turned_away =
       how == place_end_kind::kFull || how == place_end_kind::kUnusable;
   if (turned_away)
-    decisions::Rest(ledger, end.server, now);
+    decisions::BackOff(ledger, end.server, now);
   DealOut(end.service_name, found->second, now);
 }
 
--- a/src/host/process/place_duty.h
+++ b/src/host/process/place_duty.h
@@ -64,7 +64,7 @@
   };
   // All places of one service that this host deals out.
   struct deal {
-    decisions::place_ledger ledger;
+    decisions::slot_pool ledger;
     std::map<std::int64_t, waiter> waiters;
   };
 
--- a/src/host/process/quarantine_duty.cc
+++ b/src/host/process/quarantine_duty.cc
@@ -77,21 +77,21 @@
     : core_(core), store_(store), links_(std::move(links)) {}
 
 void quarantine_duty::NoteEnd(std::uint64_t digest,
-                              const decisions::server_end& end) {
+                              const decisions::server_crash& end) {
   const auto now = std::chrono::steady_clock::now();
   Tell({digest, end, now});
-  if (decisions::NoteEnd(core_.quarantine, digest, end, now))
+  if (decisions::RecordCrash(core_.quarantine, digest, end, now))
     Hold(digest, "ends");
 }
 
 void quarantine_duty::NoteWhole(std::uint64_t digest) {
-  if (decisions::NoteWhole(core_.quarantine, digest))
+  if (decisions::RecordCompleteResponse(core_.quarantine, digest))
     Tell({digest, std::nullopt, std::chrono::steady_clock::now()});
 }
 
-void quarantine_duty::Tell(const decisions::quarantine_fact& fact) {
-  decisions::AddFact(told_, fact);
-  const auto news = decisions::NewsOf({fact}, fact.at);
+void quarantine_duty::Tell(const decisions::quarantine_observation& fact) {
+  decisions::AddObservation(told_, fact);
+  const auto news = decisions::MakeUpdate({fact}, fact.at);
   links_.tell(wire::Encode(news), {kMostTold, SubjectOf(fact.digest), {}});
 }
 
@@ -100,14 +100,14 @@
   decisions::Sweep(core_.quarantine, now);
   while (!told_.empty() && now - told_.front().at >= kToldFor)
     told_.pop_front();
-  decisions::quarantine_facts worth_telling;
-  for (const decisions::quarantine_fact& each : told_) {
-    if (!each.end || decisions::IsSuspected(core_.quarantine, each.digest))
+  decisions::quarantine_observations worth_telling;
+  for (const decisions::quarantine_observation& each : told_) {
+    if (!each.crash || decisions::IsSuspected(core_.quarantine, each.digest))
       worth_telling.push_back(each);
   }
   if (worth_telling.empty())
     return;
-  const auto news = decisions::NewsOf(worth_telling, now);
+  const auto news = decisions::MakeUpdate(worth_telling, now);
   links_.tell(wire::Encode(news), {kMostTold, {}, {}});
 }
 
@@ -115,7 +115,7 @@
   decisions::DropCleared(told_, news);
   const auto now = std::chrono::steady_clock::now();
   for (const std::uint64_t digest :
-       decisions::TakeNews(core_.quarantine, news, now))
+       decisions::ApplyUpdate(core_.quarantine, news, now))
     Hold(digest, "told");
 }
 
@@ -132,7 +132,7 @@
     return false;
   kept_.insert(*digest);
   const auto now = std::chrono::steady_clock::now();
-  if (decisions::NoteHeld(core_.quarantine, *digest, now))
+  if (decisions::RecordQuarantine(core_.quarantine, *digest, now))
     Hold(*digest, "store");
   return true;
 }
@@ -160,8 +160,8 @@
     co_await timer.async_wait(kAwait);
   }
   while (!kept_.contains(digest) &&
-         decisions::HeldFor(core_.quarantine, digest,
-                            std::chrono::steady_clock::now())) {
+         decisions::RemainingQuarantine(core_.quarantine, digest,
+                                        std::chrono::steady_clock::now())) {
     const bool written = co_await Write(digest);
     if (written)
       co_return;
@@ -172,7 +172,7 @@
 
 asio::awaitable<bool> quarantine_duty::Write(std::uint64_t digest) {
   const auto lease = co_await store_.GrantLease(
-      duration_cast<std::chrono::seconds>(decisions::kHoldTime));
+      duration_cast<std::chrono::seconds>(decisions::kQuarantineDuration));
   if (!lease)
     co_return false;
   const std::string key = KeyOfHold(digest);
--- a/src/host/process/quarantine_duty.h
+++ b/src/host/process/quarantine_duty.h
@@ -47,7 +47,7 @@
                   quarantine_links links);
 
   // A server has ended while a request of this host was there.
-  void NoteEnd(std::uint64_t digest, const decisions::server_end& end);
+  void NoteEnd(std::uint64_t digest, const decisions::server_crash& end);
   // A server has answered a request of this host whole.
   void NoteWhole(std::uint64_t digest);
 
@@ -63,7 +63,7 @@
   void Republish();
 
  private:
-  void Tell(const decisions::quarantine_fact& fact);
+  void Tell(const decisions::quarantine_observation& fact);
   void Hold(std::uint64_t digest, std::string_view by);
   boost::asio::awaitable<void> Keep(std::uint64_t digest);
   boost::asio::awaitable<bool> Write(std::uint64_t digest);
@@ -72,7 +72,7 @@
   store::kv_client& store_;
   quarantine_links links_;
   // What this host has seen lately.
-  decisions::quarantine_facts told_;
+  decisions::quarantine_observations told_;
   // Requests that the store says are held back.
   std::set<std::uint64_t> kept_;
 };
--- a/src/host/process/server_registry.cc
+++ b/src/host/process/server_registry.cc
@@ -136,7 +136,7 @@
     slot->evacuated = evacuated_zones_.contains(slot->entry.zone);
     const auto region = regions_.find(slot->entry.zone);
     slot->region = region == regions_.end() ? "" : region->second;
-    decisions::NoteCold(slot->cold, slot->entry.cold_for, now);
+    decisions::MarkCold(slot->cold, slot->entry.cold_for, now);
     // Other hosts may have told of it before its entry came.
     for (const auto& [host, loads] : loads_) {
       const auto use = loads.find(slot->key);
@@ -152,7 +152,7 @@
   slot->entry = std::move(entry);
   slot->evacuated = evacuated_zones_.contains(slot->entry.zone);
   slot->taken_back_at.reset();
-  decisions::NoteCold(slot->cold, slot->entry.cold_for, now);
+  decisions::MarkCold(slot->cold, slot->entry.cold_for, now);
   slot->entry.draining = slot->entry.draining || left;
   slot->leaving = slot->entry.draining;
   slot->lapses_at.reset();
@@ -280,7 +280,7 @@
     const bool candidate =
         IsCandidate(*server, wish, now) && server->IsCold(service, now);
     if (!candidate ||
-        !decisions::TakeColdTurn(server->cold, share, now, random))
+        !decisions::TryStartColdSend(server->cold, share, now, random))
       continue;
     const decisions::server_offer offer = OfferOf(*server, wish, service, now);
     const milliseconds ahead =
@@ -420,9 +420,9 @@
     const std::int64_t sent = use.unread_tokens - before.unread_tokens;
     server->others.unread_tokens += sent;
     if (sent > 0) {
-      decisions::AddReading(server->pace,
-                            server->per_token * static_cast<double>(sent),
-                            std::chrono::steady_clock::now());
+      decisions::AddPromptRead(server->pace,
+                               server->per_token * static_cast<double>(sent),
+                               std::chrono::steady_clock::now());
     }
     server->others.held_tokens += use.held_tokens - before.held_tokens;
   }
--- a/src/host/process/server_registry.h
+++ b/src/host/process/server_registry.h
@@ -76,7 +76,7 @@
   server_use others;
   decisions::server_trust trust;
   // Prompts of all hosts, and what the last one sent from here took a token.
-  decisions::reading_pace pace;
+  decisions::read_pacing pace;
   std::chrono::duration<double, std::milli> per_token{0};
   std::map<unit_key, holding_fact> facts;
   // Models that it is loading, and when each is there.
--- a/src/host/process/store_mirror.cc
+++ b/src/host/process/store_mirror.cc
@@ -153,7 +153,7 @@
   current_ = answered;
   if (answered) {
     answered_at_ = std::chrono::steady_clock::now();
-    decisions::NoteOwnAnswer(answers_, events_.follows(), *answered_at_);
+    decisions::RecordOwnResponse(answers_, events_.follows(), *answered_at_);
   }
   if (!answered) {
     failed_at_ = std::chrono::steady_clock::now();
@@ -224,37 +224,38 @@
 }
 
 std::optional<std::chrono::milliseconds> store_mirror::Age() const {
-  const auto newest = decisions::NewestAnswer(answers_);
+  const auto newest = decisions::NewestResponseTime(answers_);
   if (!newest)
     return std::nullopt;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::steady_clock::now() - *newest);
 }
 
-void store_mirror::HearAnswer(const decisions::told_answer& told) {
-  decisions::HearAnswer(answers_, told, std::chrono::steady_clock::now());
+void store_mirror::HearAnswer(const decisions::reported_response& told) {
+  decisions::RecordReportedResponse(answers_, told,
+                                    std::chrono::steady_clock::now());
 }
 
-std::optional<decisions::told_answer> store_mirror::NewestAnswer() {
+std::optional<decisions::reported_response> store_mirror::NewestAnswer() {
   // A large answer takes longer on a narrow link than others wait before they
   // read for themselves, all of them at once: 58 of 63 hosts did.
   const auto heard = store_.HeardAt();
   if (heard && (!answers_.own_at || *heard > *answers_.own_at))
-    decisions::NoteOwnAnswer(answers_, events_.follows(), *heard);
-  return decisions::TellNewest(answers_, std::chrono::steady_clock::now());
+    decisions::RecordOwnResponse(answers_, events_.follows(), *heard);
+  return decisions::ReportNewest(answers_, std::chrono::steady_clock::now());
 }
 
 bool store_mirror::OthersFollow() const {
   return revision_ > 0 &&
-         decisions::OthersAnsweredWithin(answers_, kTakeOver,
-                                         std::chrono::steady_clock::now());
+         decisions::OthersRespondedWithin(answers_, kTakeOver,
+                                          std::chrono::steady_clock::now());
 }
 
 // Whether this host may end standing in for the hosts that are chosen.
 bool store_mirror::MayStopFollowing() const {
   return !events_.follows() &&
-         decisions::MayLeaveToOthers(answers_, kTakeOver,
-                                     std::chrono::steady_clock::now());
+         decisions::MayStopFallbackRead(answers_, kTakeOver,
+                                        std::chrono::steady_clock::now());
 }
 
 bool store_mirror::WantsCopy() const {
@@ -314,16 +315,16 @@
 // Hosts that start together would all read the whole store.
 asio::awaitable<void> store_mirror::AwaitFirstCopy(std::mt19937_64& random) {
   const auto begun = std::chrono::steady_clock::now();
-  decisions::first_reading view;
-  view.draw = std::uniform_real_distribution<double>(0, 1)(random);
+  decisions::initial_read view;
+  view.jitter = std::uniform_real_distribution<double>(0, 1)(random);
   asio::steady_timer timer(context_);
   while (true) {
     view.since_start = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::steady_clock::now() - begun);
-    view.knows_others = events_.knows_others && events_.knows_others();
+    view.knows_peers = events_.knows_others && events_.knows_others();
     view.chosen = events_.follows();
     const bool copied = OthersFollow();
-    if (copied || decisions::ShouldReadFirst(view))
+    if (copied || decisions::ShouldStartInitialRead(view))
       co_return;
     timer.expires_after(kFirstLook);
     co_await timer.async_wait(kAwait);
--- a/src/host/process/store_mirror.h
+++ b/src/host/process/store_mirror.h
@@ -73,10 +73,10 @@
   // if it never did.
   std::optional<std::chrono::milliseconds> Age() const;
   // Another host knows of an answer of the store.
-  void HearAnswer(const decisions::told_answer& told);
+  void HearAnswer(const decisions::reported_response& told);
   // The newest answer that is known of, for other hosts; nothing if the store
   // never answered. An answer to this host of which parts come in counts.
-  std::optional<decisions::told_answer> NewestAnswer();
+  std::optional<decisions::reported_response> NewestAnswer();
   // Whether a call failed within `span` before now.
   bool FailedWithin(std::chrono::milliseconds span) const;
   std::int64_t revision() const { return revision_; }
@@ -117,7 +117,7 @@
   std::int64_t forgotten_ = 0;
   std::int64_t revision_ = 0;
   // When the store answered this host, and others.
-  decisions::answer_ages answers_;
+  decisions::response_ages answers_;
   // When the last whole answer came.
   std::optional<base::time_point> answered_at_;
   bool current_ = false;
--- a/src/host/request/caller_check.cc
+++ b/src/host/request/caller_check.cc
@@ -25,15 +25,15 @@
   if (!known.needs_keys || routed.route->is_public)
     return std::nullopt;
   routed.workspace = known.FindWorkspace(routed.head.key);
-  const auto age = decisions::AgeOf(core.certainty, base::boot_clock::now());
-  switch (decisions::JudgeKey(routed.workspace != nullptr, age,
+  const auto age = decisions::DataAge(core.certainty, base::boot_clock::now());
+  switch (decisions::CheckKey(routed.workspace != nullptr, age,
                               core.settings.keys)) {
-    case decisions::key_verdict::kGood:
+    case decisions::key_verdict::kValid:
       return std::nullopt;
     case decisions::key_verdict::kUnknown:
       return base::MakeError(result_code::kUnknownKey, base::outcome::kNotRun,
                              "no workspace has this key");
-    case decisions::key_verdict::kNotCertain:
+    case decisions::key_verdict::kNotFresh:
       break;
   }
   return NotCertain();
--- a/src/host/request/ending_watch.cc
+++ b/src/host/request/ending_watch.cc
@@ -14,12 +14,12 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-decisions::broken_attempt BrokenAttemptOf(const attempt_progress& progress,
-                                          const base::error& failed) {
-  decisions::broken_attempt out;
+decisions::interrupted_attempt BrokenAttemptOf(const attempt_progress& progress,
+                                               const base::error& failed) {
+  decisions::interrupted_attempt out;
   out.connection_lost = failed.connection_lost;
   if (progress.first_part_at) {
-    out.answering = duration_cast<milliseconds>(
+    out.response_duration = duration_cast<milliseconds>(
         std::chrono::steady_clock::now() - *progress.first_part_at);
   }
   return out;
@@ -36,8 +36,8 @@
 std::optional<base::error> ending_watch::HeldBack() {
   if (core_.quarantine.suspects.empty())
     return std::nullopt;
-  const auto held = decisions::HeldFor(core_.quarantine, Digest(),
-                                       std::chrono::steady_clock::now());
+  const auto held = decisions::RemainingQuarantine(
+      core_.quarantine, Digest(), std::chrono::steady_clock::now());
   if (!held)
     return std::nullopt;
   auto error =
@@ -64,7 +64,7 @@
                    {"server", server.entry.instance},
                    {"reached", std::string(reached)},
                    {"after_ms", MillisecondsSince(progress.sent)}});
-  if (!decisions::IsSuspect(BrokenAttemptOf(progress, failed)))
+  if (!decisions::MayHaveCrashedServer(BrokenAttemptOf(progress, failed)))
     return;
   const auto now = std::chrono::steady_clock::now();
   core_.server_ended(Digest(), {server.key, progress.sent, now});
--- a/src/host/request/server_attempt.cc
+++ b/src/host/request/server_attempt.cc
@@ -38,7 +38,7 @@
   server_->own.unread_tokens += weight_.prompt_tokens;
   server_->own.held_tokens += weight_.held_tokens;
   server_->per_token = weight_.per_token;
-  decisions::AddReading(
+  decisions::AddPromptRead(
       server_->pace,
       weight_.per_token * static_cast<double>(weight_.prompt_tokens), begun_);
   // A server that was suspended gets one request as a trial.
--- a/src/node/table_sync.cc
+++ b/src/node/table_sync.cc
@@ -58,7 +58,7 @@
 
 void table_sync::FetchFrom(const base::endpoint& peer) {
   const auto now = std::chrono::steady_clock::now();
-  if (!decisions::BeginFetch(fetches_, peer, true, now))
+  if (!decisions::TryStartFetch(fetches_, peer, true, now))
     return;
   asio::co_spawn(owner_.peers().context(), Fetch(peer), asio::detached);
 }
@@ -70,15 +70,15 @@
   wanted.since = since;
   call.__set_table_wanted(wanted);
   net::reply_limit limit = [this, peer](const net::reply_progress& progress) {
-    decisions::NoteBytes(fetches_, peer, progress.bytes, progress.heard);
-    return decisions::GiveUpAt(fetches_, peer);
+    decisions::RecordBytes(fetches_, peer, progress.bytes, progress.heard);
+    return decisions::FetchDeadline(fetches_, peer);
   };
   const auto reply =
       co_await owner_.CallPeer(peer, std::move(call), std::move(limit));
   decisions::EndFetch(fetches_, peer);
   if (!reply || !reply->__isset.table)
     co_return;
-  decisions::NoteCopy(fetches_);
+  decisions::RecordSnapshot(fetches_);
   owner_.table().Apply(reply->table, since);
 }
 
@@ -96,8 +96,8 @@
       if (asked.size() >= kFirstTablePeers || asked.contains(each.id))
         continue;
       asked.insert(each.id);
-      decisions::NoteAsked(fetches_, *address,
-                           std::chrono::steady_clock::now());
+      decisions::StartFetch(fetches_, *address,
+                            std::chrono::steady_clock::now());
       co_await Fetch(*address);
     }
     const bool have = owner_.table().Get()->revision > 0;
--- a/src/node/table_sync.h
+++ b/src/node/table_sync.h
@@ -43,7 +43,7 @@
 
   node& owner_;
   std::atomic<bool> has_table_ = false;
-  decisions::copy_fetches fetches_;
+  decisions::snapshot_fetches fetches_;
   // The platform's revision that the next read starts from.
   std::int64_t next_read_ = 0;
   std::int64_t next_watch_ = 1;
--- a/tests/auto/decisions/test_cold_start.cc
+++ b/tests/auto/decisions/test_cold_start.cc
@@ -18,7 +18,7 @@
 
 // What a server tolerates, and what is sent at the most, as operators state it.
 constexpr double kRate = 6.9;
-constexpr double kOver = 1.5;
+constexpr double kOverloadFactor = 1.5;
 constexpr std::int64_t kSlack = 5;
 
 // One host that always has a request for the server.
@@ -42,43 +42,46 @@
 // beside `dealers` that give out its places as fast as they may.
 std::vector<base::time_point> Arrivals(std::vector<host>& fleet,
                                        std::chrono::milliseconds span,
-                                       int dealers) {
+                                       int allocators) {
   std::vector<base::time_point> out;
   for (host& each : fleet)
-    NoteCold(each.server, span, kStart);
+    MarkCold(each.server, span, kStart);
   for (auto now = kStart; now < kStart + span; now += 10ms) {
     for (host& each : fleet) {
-      if (TakeColdTurn(each.server, each.share, now, each.random))
+      if (TryStartColdSend(each.server, each.share, now, each.random))
         out.push_back(now);
     }
   }
-  for (int dealer = 0; dealer < dealers; ++dealer) {
-    for (auto at = kStart; at < kStart + span; at += ColdDealPause(kRate))
+  for (int allocator = 0; allocator < allocators; ++allocator) {
+    for (auto at = kStart; at < kStart + span;
+         at += ColdAllocationInterval(kRate))
       out.push_back(at);
   }
   std::ranges::sort(out);
   return out;
 }
 
-std::int64_t MostInASecond(const std::vector<base::time_point>& arrivals) {
-  std::int64_t most = 0;
+std::int64_t MaxPerSecond(const std::vector<base::time_point>& arrivals) {
+  std::int64_t max_count = 0;
   for (std::size_t first = 0, last = 0; last < arrivals.size(); ++last) {
     while (arrivals[last] - arrivals[first] >= 1s)
       ++first;
-    most = std::max(most, static_cast<std::int64_t>(last - first + 1));
+    max_count =
+        std::max(max_count, static_cast<std::int64_t>(last - first + 1));
   }
-  return most;
+  return max_count;
 }
 
 BOOST_AUTO_TEST_SUITE(cold_starts)
 
-BOOST_AUTO_TEST_CASE(a_cold_server_gets_what_it_tolerates_from_any_fleet) {
-  const auto bound = static_cast<std::int64_t>(kRate * kOver) + kSlack;
+BOOST_AUTO_TEST_CASE(the_request_rate_at_a_cold_server_stays_within_its_limit) {
+  const auto bound =
+      static_cast<std::int64_t>(kRate * kOverloadFactor) + kSlack;
   for (const std::int64_t hosts : {1, 7, 69, 985}) {
     std::int64_t worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       auto fleet = Fleet(hosts, seed * 10'000);
-      worst = std::max(worst, MostInASecond(Arrivals(fleet, 4s, 2)));
+      worst = std::max(worst, MaxPerSecond(Arrivals(fleet, 4s, 2)));
     }
     BOOST_TEST_CONTEXT(hosts << " hosts")
     BOOST_TEST(worst <= bound);
@@ -86,13 +89,13 @@
 }
 
 // A server that is cold for long is used all the same.
-BOOST_AUTO_TEST_CASE(hosts_use_a_quarter_of_what_a_cold_server_tolerates) {
+BOOST_AUTO_TEST_CASE(hosts_use_a_quarter_of_the_tolerated_rate) {
   auto fleet = Fleet(69, 5);
   const auto arrivals = Arrivals(fleet, 60s, 0);
   BOOST_TEST(arrivals.size() > 0.8 * 60 * kRate / 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_has_just_started_sends_nothing_there) {
+BOOST_AUTO_TEST_CASE(a_host_that_has_just_started_sends_no_requests) {
   auto fleet = Fleet(69, 5);
   for (host& each : fleet)
     each.share = {kRate, 1, false};
@@ -100,16 +103,16 @@
 }
 
 // The server says how long it stays cold each time it writes its entry.
-BOOST_AUTO_TEST_CASE(an_entry_does_not_give_a_host_its_turn_again) {
+BOOST_AUTO_TEST_CASE(a_repeated_entry_does_not_reset_the_send_time) {
   auto fleet = Fleet(1, 5);
   host& one = fleet.front();
   one.share.hosts = 69;
-  NoteCold(one.server, 60s, kStart);
+  MarkCold(one.server, 60s, kStart);
   auto now = kStart;
-  while (!TakeColdTurn(one.server, one.share, now, one.random))
+  while (!TryStartColdSend(one.server, one.share, now, one.random))
     now += 10ms;
-  NoteCold(one.server, 50s, now);
-  BOOST_TEST(!TakeColdTurn(one.server, one.share, now + 10s, one.random));
+  MarkCold(one.server, 50s, now);
+  BOOST_TEST(!TryStartColdSend(one.server, one.share, now + 10s, one.random));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/test_read_pacing.cc
+++ b/tests/auto/decisions/test_read_pacing.cc
@@ -11,37 +11,37 @@
 using namespace valeledge::decisions;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(reading_paces)
+BOOST_AUTO_TEST_SUITE(prompt_read_pacing)
 
-BOOST_AUTO_TEST_CASE(what_was_read_is_forgotten_within_a_second) {
+BOOST_AUTO_TEST_CASE(past_reads_decay_within_a_second) {
   const valeledge::base::time_point start{};
-  reading_pace pace;
-  BOOST_TEST(PauseCost(pace, start).count() == 0);
-  AddReading(pace, 60ms, start);
-  const auto first = PauseCost(pace, start);
+  read_pacing pacing;
+  BOOST_TEST(PauseCost(pacing, start).count() == 0);
+  AddPromptRead(pacing, 60ms, start);
+  const auto first = PauseCost(pacing, start);
   BOOST_TEST(first.count() > 10);
-  BOOST_TEST(PauseCost(pace, start + 100ms).count() < first.count());
-  BOOST_TEST(PauseCost(pace, start + 1000ms).count() < 1);
+  BOOST_TEST(PauseCost(pacing, start + 100ms).count() < first.count());
+  BOOST_TEST(PauseCost(pacing, start + 1000ms).count() < 1);
 }
 
 // Prompts of 20 ms come in clumps of three, 60 a second, to four engines that
 // have read each within the time to the next clump. By unread prompts alone the
 // choice among them is open, and one engine may read a whole clump.
-BOOST_AUTO_TEST_CASE(clumps_are_spread_over_engines) {
-  std::array<reading_pace, 4> engines;
+BOOST_AUTO_TEST_CASE(bursts_are_spread_over_engines) {
+  std::array<read_pacing, 4> engines;
   std::array<int, 4> sent{};
   valeledge::base::time_point now{};
-  for (int clump = 0; clump < 20; ++clump) {
-    std::array<int, 4> of_clump{};
+  for (int burst = 0; burst < 20; ++burst) {
+    std::array<int, 4> in_burst{};
     for (int i = 0; i < 3; ++i) {
       const auto best = std::ranges::min_element(
           engines, {}, [&](const auto& each) { return PauseCost(each, now); });
-      AddReading(*best, 20ms, now);
+      AddPromptRead(*best, 20ms, now);
       const auto at = static_cast<std::size_t>(best - engines.begin());
       ++sent[at];
-      ++of_clump[at];
+      ++in_burst[at];
     }
-    BOOST_TEST(*std::ranges::max_element(of_clump) == 1);
+    BOOST_TEST(*std::ranges::max_element(in_burst) == 1);
     now += 50ms;
   }
   BOOST_TEST(*std::ranges::max_element(sent) == 15);
--- a/tests/auto/decisions/test_response_check.cc
+++ b/tests/auto/decisions/test_response_check.cc
@@ -7,16 +7,16 @@
 
 using namespace valeledge::decisions;
 
-answer_chunk Chunk(const char* attempt,
-                   std::int64_t offset,
-                   const char* finish = "") {
+response_chunk Chunk(const char* attempt,
+                     std::int64_t offset,
+                     const char* finish = "") {
   return {attempt, offset, 1, "x", finish};
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_in_order_is_taken) {
-  answer_progress progress{"a", 0, false};
+BOOST_AUTO_TEST_CASE(chunks_in_order_are_accepted) {
+  response_progress progress{"a", 0, false};
   BOOST_TEST(!AcceptChunk(progress, Chunk("a", 0)).has_value());
   BOOST_TEST(!AcceptChunk(progress, Chunk("a", 1)).has_value());
   BOOST_TEST(!progress.finished);
@@ -25,19 +25,20 @@
   BOOST_TEST(progress.next_offset == 3);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_the_next_chunk_of_the_attempt_is_refused) {
-  const auto fault = [](answer_progress progress, const answer_chunk& chunk) {
+BOOST_AUTO_TEST_CASE(chunks_out_of_sequence_are_rejected) {
+  const auto fault = [](response_progress progress,
+                        const response_chunk& chunk) {
     return AcceptChunk(progress, chunk);
   };
-  const answer_progress started{"a", 5, false};
+  const response_progress started{"a", 5, false};
   BOOST_TEST((fault(started, Chunk("b", 5)) == chunk_fault::kWrongAttempt));
   BOOST_TEST((fault(started, Chunk("a", 6)) == chunk_fault::kGap));
   BOOST_TEST((fault(started, Chunk("a", 4)) == chunk_fault::kRepeat));
   BOOST_TEST((fault({"a", 5, true}, Chunk("a", 5)) == chunk_fault::kAfterEnd));
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_chunk_changes_nothing) {
-  answer_progress progress{"a", 5, false};
+BOOST_AUTO_TEST_CASE(a_rejected_chunk_leaves_progress_unchanged) {
+  response_progress progress{"a", 5, false};
   AcceptChunk(progress, Chunk("b", 5, "stop"));
   BOOST_TEST(progress.next_offset == 5);
   BOOST_TEST(!progress.finished);
--- a/tests/auto/host/relay_world.h
+++ b/tests/auto/host/relay_world.h
@@ -115,11 +115,11 @@
       core->retries.NoteRequest("s", std::chrono::steady_clock::now());
     core->use_changed = [](const host::known_server&) {};
     core->server_ended = [this](std::uint64_t digest,
-                                const decisions::server_end& end) {
-      decisions::NoteEnd(core->quarantine, digest, end, end.at);
+                                const decisions::server_crash& end) {
+      decisions::RecordCrash(core->quarantine, digest, end, end.at);
     };
     core->suspect_answered = [this](std::uint64_t digest) {
-      decisions::NoteWhole(core->quarantine, digest);
+      decisions::RecordCompleteResponse(core->quarantine, digest);
     };
     AddRoute("/once/", catalog::route_kind::kOnce, false);
     AddRoute("/safe/", catalog::route_kind::kIdempotent, false);
--- a/tests/auto/host/test_copy_spread.cc
+++ b/tests/auto/host/test_copy_spread.cc
@@ -51,7 +51,7 @@
 struct played_host {
   double bandwidth = kNarrow;
   bool has_copy = false;
-  decisions::copy_fetches fetches;
+  decisions::snapshot_fetches fetches;
 };
 
 struct transfer {
@@ -102,8 +102,8 @@
     for (std::size_t to = 0; to < hosts_.size(); ++to) {
       const std::size_t from = any(random_);
       const bool newer = hosts_[from].has_copy && !hosts_[to].has_copy;
-      if (newer && decisions::BeginFetch(hosts_[to].fetches, AddressOf(from),
-                                         true, now_)) {
+      if (newer && decisions::TryStartFetch(hosts_[to].fetches, AddressOf(from),
+                                            true, now_)) {
         Ask(from, to);
       }
     }
@@ -114,8 +114,8 @@
     double queued = 0;
     for (const transfer& each : transfers_)
       queued += each.from == from ? each.left : 0;
-    if (decisions::MayGiveCopy(static_cast<std::int64_t>(queued),
-                               hosts_[from].bandwidth)) {
+    if (decisions::MaySendSnapshot(static_cast<std::int64_t>(queued),
+                                   hosts_[from].bandwidth)) {
       transfers_.push_back({from, to, copy_bytes_, 0, false});
     } else {
       decisions::EndFetch(hosts_[to].fetches, AddressOf(from));
@@ -142,13 +142,13 @@
       each.came += bytes;
       carried_ += bytes;
       if (!each.given_up) {
-        decisions::NoteBytes(hosts_[each.to].fetches, AddressOf(each.from),
-                             static_cast<std::int64_t>(each.came), now_);
+        decisions::RecordBytes(hosts_[each.to].fetches, AddressOf(each.from),
+                               static_cast<std::int64_t>(each.came), now_);
       }
       if (each.left > 0 || each.given_up)
         continue;
       hosts_[each.to].has_copy = true;
-      decisions::NoteCopy(hosts_[each.to].fetches);
+      decisions::RecordSnapshot(hosts_[each.to].fetches);
       decisions::EndFetch(hosts_[each.to].fetches, AddressOf(each.from));
     }
     std::erase_if(transfers_, [](const auto& each) { return each.left <= 0; });
@@ -156,8 +156,9 @@
 
   void GiveUp() {
     for (transfer& each : transfers_) {
-      decisions::copy_fetches& fetches = hosts_[each.to].fetches;
-      const auto until = decisions::GiveUpAt(fetches, AddressOf(each.from));
+      decisions::snapshot_fetches& fetches = hosts_[each.to].fetches;
+      const auto until =
+          decisions::FetchDeadline(fetches, AddressOf(each.from));
       if (each.given_up || now_ < until)
         continue;
       each.given_up = true;
--- a/tests/auto/host/test_quarantine_duty.cc
+++ b/tests/auto/host/test_quarantine_duty.cc
@@ -25,7 +25,7 @@
 const std::string kKey = "valeledge/held/fedcba9876543210";
 
 // An attempt that was sent, and at once its server ended.
-decisions::server_end EndOf(std::int32_t server) {
+decisions::server_crash EndOf(std::int32_t server) {
   const auto now = std::chrono::steady_clock::now();
   return {server, now, now};
 }
@@ -56,7 +56,8 @@
 
   bool Holds(std::size_t i) {
     const auto now = std::chrono::steady_clock::now();
-    return decisions::HeldFor(hosts_[i]->core.quarantine, kRequest, now)
+    return decisions::RemainingQuarantine(hosts_[i]->core.quarantine, kRequest,
+                                          now)
         .has_value();
   }
 
