--- a/src/decisions/answer_check.cc
+++ b/src/decisions/response_check.cc
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 
 namespace valeledge::decisions {
 
-std::optional<chunk_fault> AcceptChunk(answer_progress& progress,
-                                       const answer_chunk& chunk) {
+std::optional<chunk_fault> AcceptChunk(response_progress& progress,
+                                       const response_chunk& chunk) {
   if (chunk.attempt != progress.attempt)
     return chunk_fault::kWrongAttempt;
   if (progress.finished)
--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -12,7 +12,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/error.h"
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 #include "gateway/process/grant_client.h"
 #include "gateway/request/chat_request.h"
 #include "net/http_client.h"
@@ -20,8 +20,8 @@
 namespace valeledge::gateway {
 
 // Takes one checked chunk; false if the caller is gone.
-using chunk_sink =
-    std::function<boost::asio::awaitable<bool>(const decisions::answer_chunk&)>;
+using chunk_sink = std::function<boost::asio::awaitable<bool>(
+    const decisions::response_chunk&)>;
 
 // The part of an answer that earlier attempts have passed on.
 struct answer_so_far {
--- a/src/gateway/request/event_reader.h
+++ b/src/gateway/request/event_reader.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "decisions/answer_check.h"
+#include "decisions/response_check.h"
 
 namespace valeledge::gateway {
 
@@ -32,7 +32,7 @@
 };
 
 // The chunk in an event's data; nothing if it is not a chunk.
-std::optional<decisions::answer_chunk> ParseChunk(std::string_view data);
+std::optional<decisions::response_chunk> ParseChunk(std::string_view data);
 
 }  // namespace valeledge::gateway
 
--- a/src/host/process/quarantine_duty.cc
+++ b/src/host/process/quarantine_duty.cc
@@ -76,22 +76,22 @@
                                  quarantine_links links)
     : core_(core), store_(store), links_(std::move(links)) {}
 
-void quarantine_duty::NoteEnd(std::uint64_t digest,
-                              const decisions::server_end& end) {
+void quarantine_duty::RecordCrash(std::uint64_t digest,
+                              const decisions::server_crash& end) {
   const auto now = std::chrono::steady_clock::now();
   Tell({digest, end, now});
-  if (decisions::NoteEnd(core_.quarantine, digest, end, now))
+  if (decisions::RecordCrash(core_.quarantine, digest, end, now))
     Hold(digest, "ends");
 }
 
-void quarantine_duty::NoteWhole(std::uint64_t digest) {
-  if (decisions::NoteWhole(core_.quarantine, digest))
+void quarantine_duty::RecordCompleteResponse(std::uint64_t digest) {
+  if (decisions::RecordCompleteResponse(core_.quarantine, digest))
     Tell({digest, std::nullopt, std::chrono::steady_clock::now()});
 }
 
-void quarantine_duty::Tell(const decisions::quarantine_fact& fact) {
-  decisions::AddFact(told_, fact);
-  const auto news = decisions::NewsOf({fact}, fact.at);
+void quarantine_duty::Tell(const decisions::quarantine_observation& fact) {
+  decisions::AddObservation(told_, fact);
+  const auto news = decisions::MakeUpdate({fact}, fact.at);
   links_.tell(wire::Encode(news),
               {kMaxReportRecipients, SubjectOf(fact.digest), {}});
 }
@@ -101,22 +101,22 @@
   decisions::Sweep(core_.quarantine, now);
   while (!told_.empty() && now - told_.front().at >= kToldFor)
     told_.pop_front();
-  decisions::quarantine_facts worth_telling;
-  for (const decisions::quarantine_fact& each : told_) {
+  decisions::quarantine_observations worth_telling;
+  for (const decisions::quarantine_observation& each : told_) {
     if (!each.end || decisions::IsSuspected(core_.quarantine, each.digest))
       worth_telling.push_back(each);
   }
   if (worth_telling.empty())
     return;
-  const auto news = decisions::NewsOf(worth_telling, now);
+  const auto news = decisions::MakeUpdate(worth_telling, now);
   links_.tell(wire::Encode(news), {kMaxReportRecipients, {}, {}});
 }
 
-void quarantine_duty::TakeNews(const wire::end_news& news) {
+void quarantine_duty::ApplyUpdate(const wire::end_news& news) {
   decisions::DropCleared(told_, news);
   const auto now = std::chrono::steady_clock::now();
   for (const std::uint64_t digest :
-       decisions::TakeNews(core_.quarantine, news, now))
+       decisions::ApplyUpdate(core_.quarantine, news, now))
     Hold(digest, "told");
 }
 
@@ -133,7 +133,7 @@
     return false;
   kept_.insert(*digest);
   const auto now = std::chrono::steady_clock::now();
-  if (decisions::NoteHeld(core_.quarantine, *digest, now))
+  if (decisions::RecordQuarantine(core_.quarantine, *digest, now))
     Hold(*digest, "store");
   return true;
 }
@@ -161,7 +161,7 @@
     co_await timer.async_wait(kAwait);
   }
   while (!kept_.contains(digest) &&
-         decisions::HeldFor(core_.quarantine, digest,
+         decisions::RemainingQuarantine(core_.quarantine, digest,
                             std::chrono::steady_clock::now())) {
     const bool written = co_await Write(digest);
     if (written)
@@ -173,7 +173,7 @@
 
 asio::awaitable<bool> quarantine_duty::Write(std::uint64_t digest) {
   const auto lease = co_await store_.GrantLease(
-      duration_cast<std::chrono::seconds>(decisions::kHoldTime));
+      duration_cast<std::chrono::seconds>(decisions::kQuarantineDuration));
   if (!lease)
     co_return false;
   const std::string key = KeyOfHold(digest);
--- a/src/host/process/server_registry.h
+++ b/src/host/process/server_registry.h
@@ -20,7 +20,7 @@
 #include "catalog/configuration.h"
 #include "decisions/advertised_limit.h"
 #include "decisions/cold_start.h"
-#include "decisions/reading_pace.h"
+#include "decisions/read_pacing.h"
 #include "decisions/server_cost.h"
 #include "host/external_protocol.h"
 #include "host/process/dealt_place.h"
@@ -76,7 +76,7 @@
   server_use others;
   decisions::server_health trust;
   // Prompts of all hosts, and what the last one sent from here took a token.
-  decisions::reading_pace pace;
+  decisions::read_pacing pace;
   std::chrono::duration<double, std::milli> per_token{0};
   std::map<unit_key, holding_fact> facts;
   // Models that it is loading, and when each is there.
--- a/src/host/request/caller_authentication.cc
+++ b/src/host/request/caller_authentication.cc
@@ -25,15 +25,15 @@
   if (!configuration.needs_keys || routed.route->is_public)
     return std::nullopt;
   routed.workspace = configuration.FindWorkspace(routed.metadata.key);
-  const auto age = decisions::AgeOf(core.certainty, base::boot_clock::now());
-  switch (decisions::JudgeKey(routed.workspace != nullptr, age,
+  const auto age = decisions::DataAge(core.certainty, base::boot_clock::now());
+  switch (decisions::CheckKey(routed.workspace != nullptr, age,
                               core.settings.keys)) {
     case decisions::key_verdict::kGood:
       return std::nullopt;
     case decisions::key_verdict::kUnknown:
       return base::MakeError(result_code::kUnknownKey, base::outcome::kNotRun,
                              "no workspace has this key");
-    case decisions::key_verdict::kNotCertain:
+    case decisions::key_verdict::kNotFresh:
       break;
   }
   return KeyNotFreshError();
--- a/src/host/request/crash_monitor.cc
+++ b/src/host/request/crash_monitor.cc
@@ -14,12 +14,12 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-decisions::broken_attempt BrokenAttemptOf(const attempt_progress& progress,
+decisions::interrupted_attempt BrokenAttemptOf(const attempt_progress& progress,
                                           const base::error& failed) {
-  decisions::broken_attempt out;
+  decisions::interrupted_attempt out;
   out.connection_lost = failed.connection_lost;
   if (progress.first_body_at) {
-    out.answering = duration_cast<milliseconds>(
+    out.response_duration = duration_cast<milliseconds>(
         std::chrono::steady_clock::now() - *progress.first_body_at);
   }
   return out;
--- a/src/host/request/server_attempt.cc
+++ b/src/host/request/server_attempt.cc
@@ -38,8 +38,8 @@
   ++server_->own.running;
   server_->own.unread_tokens += weight_.prompt_tokens;
   server_->own.held_tokens += weight_.held_tokens;
-  server_->time_per_token = weight_.time_per_token;
-  decisions::AddReading(
+  server_->per_token = weight_.time_per_token;
+  decisions::AddPromptRead(
       server_->pace,
       weight_.time_per_token * static_cast<double>(weight_.prompt_tokens),
       started_at_);
--- a/src/host/request/server_search.cc
+++ b/src/host/request/server_search.cc
@@ -88,12 +88,12 @@
                               const server_choice& choice,
                               bool first_attempt,
                               base::time_point now) {
-  const milliseconds gap = routed.route->max_event_gap;
+  const milliseconds gap = routed.route->event_gap;
   decisions::engine_candidate turn;
   turn.waited = duration_cast<milliseconds>(now - routed.arrived);
   turn.objective = routed.route->objective;
   turn.response_in = choice.expected;
-  turn.prompt_backlog = choice.prompt_backlog;
+  turn.prompt_backlog = choice.reading_ahead;
   turn.max_event_gap = gap.count() > 0 ? gap : kDefaultEventGap;
   turn.recheck_interval = kSelectionRetryInterval;
   turn.refusable = first_attempt && !IsRetry(routed);
