--- a/src/host/process/demand_forecast.h
+++ b/src/host/process/demand_forecast.h
@@ -15,7 +15,7 @@
 #include "catalog/configuration.h"
 #include "decisions/demand_shift.h"
 #include "decisions/model_plan.h"
-#include "host/process/demand_meter.h"
+#include "host/process/demand_tracker.h"
 #include "host/process/server_registry.h"
 #include "wire/generated/messages_types.h"
 
--- a/src/host/process/demand_meter.cc
+++ b/src/host/process/demand_tracker.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/demand_meter.h"
+#include "host/process/demand_tracker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/host/process/demand_meter.h
+++ b/src/host/process/demand_tracker.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // What callers of this host ask for, and how long engines take with it.
-#ifndef VALELEDGE_HOST_PROCESS_DEMAND_METER_H_
-#define VALELEDGE_HOST_PROCESS_DEMAND_METER_H_
+#ifndef VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
+#define VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -56,4 +56,4 @@
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_DEMAND_METER_H_
+#endif  // VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -21,11 +21,11 @@
 #include "decisions/quarantine.h"
 #include "host/dialect.h"
 #include "host/host_settings.h"
-#include "host/process/dealt_place.h"
-#include "host/process/demand_meter.h"
+#include "host/process/demand_tracker.h"
 #include "host/process/request_log.h"
 #include "host/process/retry_budgets.h"
 #include "host/process/server_registry.h"
+#include "host/process/slot_handle.h"
 #include "net/http_client.h"
 
 namespace valeledge::host {
--- a/src/host/process/owner_duties.h
+++ b/src/host/process/owner_duties.h
@@ -10,7 +10,7 @@
 #include "host/process/host_core.h"
 #include "host/process/limit_duty.h"
 #include "host/process/peer_link.h"
-#include "host/process/place_duty.h"
+#include "host/process/slot_allocator.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::host {
--- a/src/host/process/server_registry.h
+++ b/src/host/process/server_registry.h
@@ -23,7 +23,7 @@
 #include "decisions/reading_pace.h"
 #include "decisions/server_cost.h"
 #include "host/dialect.h"
-#include "host/process/dealt_place.h"
+#include "host/process/slot_handle.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::host {
--- a/src/host/process/place_duty.cc
+++ b/src/host/process/slot_allocator.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/place_duty.h"
+#include "host/process/slot_allocator.h"
 
 #include <algorithm>
 #include <random>
--- a/src/host/process/place_duty.h
+++ b/src/host/process/slot_allocator.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Deals out the places of plain services: one host for each service knows all
 // that is under way at its servers.
-#ifndef VALELEDGE_HOST_PROCESS_PLACE_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_PLACE_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_SLOT_ALLOCATOR_H_
+#define VALELEDGE_HOST_PROCESS_SLOT_ALLOCATOR_H_
 
 #include <chrono>
 #include <cstdint>
@@ -18,8 +18,8 @@
 
 #include "base/endpoint.h"
 #include "decisions/place_ledger.h"
-#include "host/process/dealt_place.h"
 #include "host/process/host_core.h"
+#include "host/process/slot_handle.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::host {
@@ -86,4 +86,4 @@
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_PLACE_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_SLOT_ALLOCATOR_H_
--- a/src/host/process/dealt_place.h
+++ b/src/host/process/slot_handle.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // A place at a server of a plain service that was dealt out to one request.
-#ifndef VALELEDGE_HOST_PROCESS_DEALT_PLACE_H_
-#define VALELEDGE_HOST_PROCESS_DEALT_PLACE_H_
+#ifndef VALELEDGE_HOST_PROCESS_SLOT_HANDLE_H_
+#define VALELEDGE_HOST_PROCESS_SLOT_HANDLE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -64,4 +64,4 @@
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_DEALT_PLACE_H_
+#endif  // VALELEDGE_HOST_PROCESS_SLOT_HANDLE_H_
--- a/tests/auto/host/test_place_duty.cc
+++ b/tests/auto/host/test_slot_allocator.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Places of a plain service between a host and the one that deals them out.
-#include "host/process/place_duty.h"
+#include "host/process/slot_allocator.h"
 
 #include <memory>
 #include <string>
