--- a/src/host/process/copy_duty.cc
+++ b/src/host/process/copy_duty.cc
@@ -69,7 +69,7 @@
 wire::envelope copy_duty::Give(const wire::mirror_request& wanted) {
   wire::envelope reply;
   if (decisions::MaySendSnapshot(peers_.QueuedBytes(),
-                             core_.settings.link_bytes_per_second)) {
+                                 core_.settings.link_bytes_per_second)) {
     reply.__set_mirror(mirror_.CopyFor(wanted));
     return reply;
   }
--- /dev/null
+++ b/src/host/process/demand_tracker.h
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: MIT
+// Demand of this host's callers, and what it costs servers.
+#ifndef VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
+#define VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
+
+#include <chrono>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "base/duration.h"
+#include "wire/generated/messages_types.h"
+
+namespace valeledge::host {
+
+// Demand for one model, or for a whole plain service.
+struct model_demand {
+  // Counts since the last UpdateRates.
+  std::int64_t arrivals = 0;
+  std::int64_t tokens = 0;
+  // Smoothed rates per second.
+  double arrival_rate = 0;
+  double token_rate = 0;
+  std::int64_t running = 0;
+  // Prefill time per prompt token, or duration of a call of a plain service.
+  std::chrono::duration<double, std::milli> cost{0};
+  // Shortest objective of all requests so far.
+  std::chrono::milliseconds objective = std::chrono::milliseconds::max();
+};
+
+// Not thread-safe: used only on the host's thread.
+class demand_tracker {
+ public:
+  // Returns the demand for a model or plain service. The first call creates it
+  // with the given cost.
+  model_demand& DemandFor(std::string_view name,
+                          std::chrono::duration<double, std::milli> first_cost);
+
+  // Updates the cost estimate by a sample. Waiting makes most samples too high,
+  // so the estimate is the 20th percentile.
+  static void UpdateCost(model_demand& demand,
+                         std::chrono::duration<double, std::milli> sample);
+
+  // Updates the rates from the counts since the last call.
+  void UpdateRates(base::time_point now);
+
+  // Demand of this host, as reported to the other hosts.
+  std::vector<wire::model_load> Loads() const;
+
+ private:
+  std::map<std::string, model_demand, std::less<>> demands_;
+  base::time_point rates_updated_at_;
+};
+
+}  // namespace valeledge::host
+
+#endif  // VALELEDGE_HOST_PROCESS_DEMAND_TRACKER_H_
--- a/src/host/process/engine_registry.cc
+++ b/src/host/process/engine_registry.cc
@@ -10,7 +10,8 @@
   std::int64_t used = 0;
   for (const auto& [name, held] : engine.models) {
     const catalog::model* model = kind.Find(name);
-    // A model that the configuration no longer names still takes room.
+    // A model removed from the configuration still occupies memory, and its
+    // size is unknown.
     used += model == nullptr ? kind.weights_mb : model->weights_mb;
   }
   std::int64_t adapter_mb = 0;
@@ -18,7 +19,7 @@
     if (each.adapters > 0)
       adapter_mb = std::max(adapter_mb, each.adapter_mb);
   }
-  // Room for adapters is kept free of weights at all times.
+  // Memory for adapters is always reserved.
   return used + adapter_mb * kind.adapter_slots;
 }
 
@@ -32,12 +33,12 @@
 bool IsHeld(const engine_record& engine, std::string_view model) {
   const auto found = engine.models.find(model);
   return found != engine.models.end() &&
-         found->second.now == engine_model::phase::kHeld;
+         found->second.state == engine_model::phase::kHeld;
 }
 
-bool IsFree(const engine_record& engine) {
+bool IsIdle(const engine_record& engine) {
   return engine.accepted && !engine.sending && !engine.changing &&
-         !engine.asking && !engine.ask_at;
+         !engine.querying && !engine.query_at;
 }
 
 bool IsListed(const engine_record& engine, std::string_view model) {
@@ -46,20 +47,20 @@
          listed.end();
 }
 
-bool TakeEntry(engine_record& engine) {
+bool ApplyEntry(engine_record& engine) {
   using enum engine_model::phase;
   if (!engine.changing || engine.sending || !engine.accepted)
     return false;
   for (auto& [name, model] : engine.models) {
     const bool listed = IsListed(engine, name);
-    const bool loaded = model.now == kLoading && model.acknowledged &&
+    const bool loaded = model.state == kLoading && model.acknowledged &&
                         !model.listed_before && listed;
     const bool unloaded =
-        model.now == kUnloading && model.listed_before && !listed;
+        model.state == kUnloading && model.listed_before && !listed;
     if (!loaded && !unloaded)
       continue;
     if (loaded) {
-      model.now = kHeld;
+      model.state = kHeld;
       model.since = std::chrono::steady_clock::now();
     } else {
       engine.models.erase(name);
@@ -72,11 +73,11 @@
   return false;
 }
 
-void TakeState(engine_record& engine,
-               const catalog::engine_state& state,
-               base::time_point now) {
+void ApplyState(engine_record& engine,
+                const catalog::engine_state& state,
+                base::time_point now) {
   using enum engine_model::phase;
-  // What an engine holds when it is first asked is not new there.
+  // Models in the first reported state were not loaded just now.
   const base::time_point arrived = engine.accepted ? now : base::time_point();
   engine.accepted = state.orders_accepted;
   engine.in_memory = state.in_memory;
@@ -86,11 +87,11 @@
     const auto known = engine.models.find(each.name);
     engine_model model;
     model.since = arrived;
-    if (known != engine.models.end() && known->second.now == kHeld)
+    if (known != engine.models.end() && known->second.state == kHeld)
       model.since = known->second.since;
-    const bool giving_up = known != engine.models.end() && state.busy &&
-                           known->second.now == kUnloading;
-    if (giving_up)
+    const bool unloading = known != engine.models.end() && state.busy &&
+                           known->second.state == kUnloading;
+    if (unloading)
       model = known->second;
     model.adapters.clear();
     for (const std::string& adapter : each.adapters) {
@@ -104,10 +105,10 @@
     }
     models[each.name] = std::move(model);
   }
-  // A load that is under way is not yet among the models.
+  // The reported state does not list a model that is still being loaded.
   if (state.busy) {
     for (const auto& [name, known] : engine.models) {
-      if (known.now == kLoading && !models.contains(name))
+      if (known.state == kLoading && !models.contains(name))
         models[name] = known;
     }
   }
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -21,11 +21,11 @@
 #include "decisions/quarantine.h"
 #include "host/external_protocol.h"
 #include "host/host_settings.h"
-#include "host/process/dealt_place.h"
-#include "host/process/demand_meter.h"
+#include "host/process/demand_tracker.h"
 #include "host/process/request_log.h"
 #include "host/process/retry_budgets.h"
 #include "host/process/server_registry.h"
+#include "host/process/slot_handle.h"
 #include "net/http_client.h"
 
 namespace valeledge::host {
@@ -48,7 +48,7 @@
   base::metrics metrics;
   request_log log{metrics};
   server_registry servers;
-  demand_meter demand;
+  demand_tracker demand;
   net::http_client http;
   std::mt19937_64 random{std::random_device{}()};
   // The configuration in force; null before the first one is known.
@@ -85,7 +85,7 @@
   // Waits for a place at a server of a plain service; nothing if this host
   // chooses by itself. Unset: it always does.
   std::function<boost::asio::awaitable<
-      base::result<std::shared_ptr<dealt_place>>>(place_request wanted)>
+      base::result<std::shared_ptr<slot_handle>>>(slot_request wanted)>
       take_place;
   // Asks for a permit to send one request to a server that advertises a limit;
   // false if there is none now. Unset: there never is.
--- a/src/host/process/load_reports.cc
+++ b/src/host/process/load_reports.cc
@@ -17,59 +17,61 @@
 
 using std::chrono::milliseconds;
 
-// Key of the record in which a host tells what it has under way.
+// Key of the record with a host's load at all servers.
 constexpr std::string_view kLoadRecord = "load";
-// The same for the servers at which something has changed, told at once.
-constexpr std::string_view kUseRecord = "use";
-// The same with what this host's callers ask for, for the holder of the lease.
+// Key of the record that is sent immediately, with the changed servers only.
+constexpr std::string_view kUsageRecord = "use";
+// Key of the record for the lease holder, which adds the demand of callers.
 constexpr std::string_view kDemandRecord = "demand";
 
-// Hosts that are told by one that has nothing under way: only what it knows of
-// the store, which others tell as well.
-constexpr std::size_t kToldByIdle = 4;
+// Recipients of reports of a host without load: these contain only the age of
+// its store mirror, which others report as well.
+constexpr std::size_t kIdleRecipients = 4;
 constexpr std::size_t kAllHosts = std::numeric_limits<std::size_t>::max();
 
-// Stands for an age that is not known.
+// Age on the wire if it is not known.
 constexpr std::int32_t kUnknownAge = -1;
 
-// What a host tells of the store's newest answer.
-decisions::reported_response ToldAnswerOf(const wire::host_load& load) {
-  decisions::reported_response told;
-  told.stamp = {load.answered_process, load.answer_count, load.answered_chosen};
-  told.age = milliseconds(load.store_age_ms);
-  return told;
+// The newest store response that a host has reported.
+decisions::reported_response ReportedResponseOf(const wire::host_load& load) {
+  decisions::reported_response reported;
+  reported.stamp = {load.answered_process, load.answer_count,
+                    load.answered_chosen};
+  reported.age = milliseconds(load.store_age_ms);
+  return reported;
 }
 
-void PutAnswer(const std::optional<decisions::reported_response>& told,
-               wire::host_load& load) {
+void SetStoreAge(const std::optional<decisions::reported_response>& reported,
+                 wire::host_load& load) {
   load.store_age_ms = kUnknownAge;
-  if (!told)
+  if (!reported)
     return;
-  load.store_age_ms = static_cast<std::int32_t>(told->age.count());
-  load.answered_process = told->stamp.origin;
-  load.answer_count = told->stamp.count;
-  load.answered_chosen = told->stamp.chosen;
+  load.store_age_ms = static_cast<std::int32_t>(reported->age.count());
+  load.answered_process = reported->stamp.origin;
+  load.answer_count = reported->stamp.count;
+  load.answered_chosen = reported->stamp.chosen;
 }
 
 }  // namespace
 
-// Idle hosts still say how old what they know of the store is; hosts that
-// follow the store say it to all of their availability zone, so that its way
-// there does not grow with hosts. Only the holder of the lease plans for what
-// is asked for, and a new one makes itself known to all at once: without the
-// demand a report of a host among 295 has 143 bytes in place of 364, and 16
-// hosts get it four times a second.
+// Idle hosts still report the age of their store mirror. Hosts that follow the
+// store report it to their whole availability zone, so that the number of hops
+// does not grow with the number of hosts. Only the lease holder gets the
+// demand, since only it plans, and a new one announces itself to all hosts
+// immediately. Without demand, the report of one host among 295 has 143 bytes
+// in place of 364; 16 hosts receive it four times a second.
 void load_reports::Report(bool follows_store) {
   wire::host_load load;
   load.servers = core_.servers.OwnLoads();
-  PutAnswer(mirror_.NewestAnswer(), load);
+  SetStoreAge(mirror_.NewestAnswer(), load);
   const auto holder = placement_.holder();
-  const bool uses = !load.servers.empty();
-  const bool used = std::exchange(told_any_use_, uses);
+  const bool has_usage = !load.servers.empty();
+  const bool reported_usage = std::exchange(reported_any_usage_, has_usage);
   if (holder) {
     const std::string value = wire::Encode(load);
-    peers_.Tell(std::string(kLoadRecord), value,
-                {uses || used ? kMaxReportRecipients : kToldByIdle});
+    peers_.Tell(
+        std::string(kLoadRecord), value,
+        {has_usage || reported_usage ? kMaxReportRecipients : kIdleRecipients});
     if (follows_store && mirror_.IsCurrent()) {
       peers_.Tell(std::string(kLoadRecord), value,
                   {kAllHosts, {}, std::nullopt, core_.settings.zone});
@@ -80,33 +82,33 @@
               {holder ? 0 : kMaxReportRecipients, {}, holder});
 }
 
-void load_reports::ReportUse(const known_server& server) {
-  // Plain services are balanced well enough by what each host knows.
+void load_reports::ReportUsage(const known_server& server) {
+  // Plain services are balanced well enough by the periodic reports.
   if (server.entry.models.empty())
     return;
   wire::host_load load;
   load.servers.push_back(server_registry::OwnLoad(server));
-  peers_.Tell(std::string(kUseRecord), wire::Encode(load),
+  peers_.Tell(std::string(kUsageRecord), wire::Encode(load),
               {kMaxReportRecipients, server.entry.instance, std::nullopt});
 }
 
-bool load_reports::Take(const membership::direct_record& record) {
+bool load_reports::HandleRecord(const membership::direct_record& record) {
   const bool with_demand = record.key == kDemandRecord;
-  const bool is_use = record.key == kUseRecord;
-  if (record.key != kLoadRecord && !with_demand && !is_use)
+  const bool is_usage = record.key == kUsageRecord;
+  if (record.key != kLoadRecord && !with_demand && !is_usage)
     return false;
   const auto load = wire::DecodeHostLoad(record.value);
   if (!load)
     return true;
-  if (is_use) {
-    core_.servers.TakeSomeLoads(record.sender, load->servers);
+  if (is_usage) {
+    core_.servers.UpdateLoads(record.sender, load->servers);
     return true;
   }
   if (load->store_age_ms >= 0)
-    mirror_.HearAnswer(ToldAnswerOf(*load));
-  core_.servers.TakeLoads(record.sender, load->servers);
+    mirror_.HearAnswer(ReportedResponseOf(*load));
+  core_.servers.ReplaceLoads(record.sender, load->servers);
   if (with_demand)
-    placement_.TakeDemand(record.sender, load->models);
+    placement_.UpdateDemand(record.sender, load->models);
   return true;
 }
 
--- a/src/host/process/owner_duties.h
+++ b/src/host/process/owner_duties.h
@@ -10,7 +10,7 @@
 #include "host/process/host_core.h"
 #include "host/process/limit_duty.h"
 #include "host/process/peer_link.h"
-#include "host/process/place_duty.h"
+#include "host/process/slot_allocator.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::host {
@@ -33,12 +33,12 @@
 
  private:
   limit_links LimitLinks();
-  place_links PlaceLinks();
+  slot_allocator_links PlaceLinks();
 
   host_core& core_;
   peer_link& peers_;
   limit_duty limits_;
-  place_duty places_;
+  slot_allocator places_;
 };
 
 }  // namespace valeledge::host
--- a/src/host/process/quarantine_duty.cc
+++ b/src/host/process/quarantine_duty.cc
@@ -77,7 +77,7 @@
     : core_(core), store_(store), links_(std::move(links)) {}
 
 void quarantine_duty::RecordCrash(std::uint64_t digest,
-                              const decisions::server_crash& end) {
+                                  const decisions::server_crash& end) {
   const auto now = std::chrono::steady_clock::now();
   Tell({digest, end, now});
   if (decisions::RecordCrash(core_.quarantine, digest, end, now))
@@ -162,7 +162,7 @@
   }
   while (!kept_.contains(digest) &&
          decisions::RemainingQuarantine(core_.quarantine, digest,
-                            std::chrono::steady_clock::now())) {
+                                        std::chrono::steady_clock::now())) {
     const bool written = co_await Write(digest);
     if (written)
       co_return;
--- a/src/host/request/caller_authentication.cc
+++ b/src/host/request/caller_authentication.cc
@@ -28,7 +28,7 @@
   const auto age = decisions::DataAge(core.certainty, base::boot_clock::now());
   switch (decisions::CheckKey(routed.workspace != nullptr, age,
                               core.settings.keys)) {
-    case decisions::key_verdict::kGood:
+    case decisions::key_verdict::kValid:
       return std::nullopt;
     case decisions::key_verdict::kUnknown:
       return base::MakeError(result_code::kUnknownKey, base::outcome::kNotRun,
--- a/src/host/request/crash_monitor.cc
+++ b/src/host/request/crash_monitor.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 decisions::interrupted_attempt BrokenAttemptOf(const attempt_progress& progress,
-                                          const base::error& failed) {
+                                               const base::error& failed) {
   decisions::interrupted_attempt out;
   out.connection_lost = failed.connection_lost;
   if (progress.first_body_at) {
@@ -36,8 +36,8 @@
 std::optional<base::error> crash_monitor::CheckQuarantine() {
   if (core_.quarantine.suspects.empty())
     return std::nullopt;
-  const auto quarantined = decisions::HeldFor(core_.quarantine, Digest(),
-                                              std::chrono::steady_clock::now());
+  const auto quarantined = decisions::RemainingQuarantine(
+      core_.quarantine, Digest(), std::chrono::steady_clock::now());
   if (!quarantined)
     return std::nullopt;
   auto error = base::MakeError(
@@ -64,7 +64,7 @@
                    {"server", server.entry.instance},
                    {"reached", std::string(reached)},
                    {"after_ms", MillisecondsSince(progress.sent)}});
-  if (!decisions::IsSuspect(BrokenAttemptOf(progress, failed)))
+  if (!decisions::MayHaveCrashedServer(BrokenAttemptOf(progress, failed)))
     return;
   const auto now = std::chrono::steady_clock::now();
   core_.server_ended(Digest(), {server.key, progress.sent, now});
--- a/src/host/request/limit_charge.cc
+++ b/src/host/request/limit_charge.cc
@@ -17,8 +17,8 @@
   const catalog::workspace* workspace = routed_.workspace;
   if (workspace == nullptr || !workspace->limit.IsSet())
     co_return base::result<void>();
-  const double count =
-      decisions::RequestCost(workspace->limit, routed_.metadata.declared_tokens);
+  const double count = decisions::RequestCost(workspace->limit,
+                                              routed_.metadata.declared_tokens);
   auto taken = co_await core_.take_limit(workspace->name, count);
   if (taken)
     count_ = count;
--- a/src/host/request/routed_request.cc
+++ b/src/host/request/routed_request.cc
@@ -62,8 +62,9 @@
   routed.deadline = routed.arrived + allowed;
   const bool of_model = !metadata.model.empty();
   routed.demand =
-      of_model ? &core.demand.At(metadata.model, kInitialTokenCost)
-               : &core.demand.At(routed.service->name, kInitialServiceTime);
+      of_model
+          ? &core.demand.DemandFor(metadata.model, kInitialTokenCost)
+          : &core.demand.DemandFor(routed.service->name, kInitialServiceTime);
   ++routed.demand->arrivals;
   routed.demand->objective =
       std::min(routed.demand->objective, routed.route->objective);
--- a/src/host/request/server_attempt.cc
+++ b/src/host/request/server_attempt.cc
@@ -27,13 +27,13 @@
                                model_demand& demand)
     : core_(core),
       server_(choice.server),
-      slot_(choice.place),
+      slot_(choice.slot),
       metadata_(metadata),
       weight_(weight),
       demand_(demand),
       expected_delay_(choice.expected) {
   weight_.prompt_tokens =
-      std::max<std::int64_t>(weight.prompt_tokens - choice.kept_tokens, 0);
+      std::max<std::int64_t>(weight.prompt_tokens - choice.cached_tokens, 0);
   ++demand_.running;
   ++server_->own.running;
   server_->own.unread_tokens += weight_.prompt_tokens;
@@ -75,42 +75,43 @@
       .Record(std::chrono::steady_clock::now() - started_at_);
   const bool engine = weight_.time_per_token.count() > 0;
   if (!engine) {
-    demand_meter::LearnCost(demand_, took);
+    demand_tracker::UpdateCost(demand_, took);
     decisions::RecordResponse(server_->trust, took, demand_.cost);
     return;
   }
-  server_registry::RememberPrompt(*server_, metadata_,
-                                  std::chrono::steady_clock::now());
-  decisions::RecordResponse(server_->trust, took,
-                        expected_delay_ + milliseconds(kFirstEventOverhead));
+  server_registry::RecordPrompt(*server_, metadata_,
+                                std::chrono::steady_clock::now());
+  decisions::RecordResponse(
+      server_->trust, took,
+      expected_delay_ + milliseconds(kFirstEventOverhead));
   if (tokens_ahead_ >= kMinTokensForCost) {
     const milliseconds reading = took - milliseconds(kFirstEventOverhead);
-    demand_meter::LearnCost(
+    demand_tracker::UpdateCost(
         demand_,
         std::max(reading / static_cast<double>(tokens_ahead_), kMinTokenCost));
   }
 }
 
-void server_attempt::EndSlot(place_end_kind how) {
+void server_attempt::EndSlot(slot_outcome how) {
   if (slot_)
-    slot_->NoteEnd(how);
+    slot_->SetOutcome(how);
 }
 
 void server_attempt::OnCompleted() {
-  EndSlot(place_end_kind::kAnswered);
+  EndSlot(slot_outcome::kResponded);
   server_->trust.failure_rate *= 0.8;
 }
 
 void server_attempt::OnFailed(bool is_definite) {
-  EndSlot(is_definite ? place_end_kind::kUnusable : place_end_kind::kFailed);
+  EndSlot(is_definite ? slot_outcome::kUnusable : slot_outcome::kFailed);
   decisions::RecordFailure(server_->trust, is_definite,
-                         std::chrono::steady_clock::now());
+                           std::chrono::steady_clock::now());
 }
 
 void server_attempt::OnRefused(const response_metadata& response) {
   const auto now = std::chrono::steady_clock::now();
   if (!response.misdirected) {
-    EndSlot(place_end_kind::kFull);
+    EndSlot(slot_outcome::kFull);
     decisions::RecordServerFull(server_->trust, now);
     return;
   }
@@ -122,9 +123,9 @@
     return;
   }
   // The server no longer holds the unit. Its entry does not show that yet.
-  holding_fact missing{false, now};
-  server_->facts[KeyOf(AdapterUnit(metadata_.model, metadata_.adapter))] =
-      missing;
+  residency_override missing{false, now};
+  server_->residency_overrides[KeyOf(
+      AdapterUnit(metadata_.model, metadata_.adapter))] = missing;
 }
 
 }  // namespace valeledge::host
--- a/src/host/request/server_attempt.h
+++ b/src/host/request/server_attempt.h
@@ -34,11 +34,11 @@
   void OnRefused(const response_metadata& response);
 
  private:
-  void EndSlot(place_end_kind how);
+  void EndSlot(slot_outcome how);
 
   host_core& core_;
   std::shared_ptr<known_server> server_;
-  std::shared_ptr<dealt_place> slot_;
+  std::shared_ptr<slot_handle> slot_;
   const request_metadata& metadata_;
   decisions::request_weight weight_;
   model_demand& demand_;
--- a/src/host/request/server_search.cc
+++ b/src/host/request/server_search.cc
@@ -22,22 +22,22 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-server_wish QueryOf(const routed_request& routed) {
-  server_wish query;
+server_query QueryOf(const routed_request& routed) {
+  server_query query;
   query.service = routed.service->name;
   query.model = routed.metadata.model;
   query.adapter = routed.metadata.adapter;
   query.head = &routed.metadata;
   query.weight = routed.weight;
   query.avoid = &routed.failed_instances;
-  query.route_homes = &routed.route->homes;
+  query.route_regions = &routed.route->homes;
   if (routed.workspace != nullptr)
-    query.workspace_homes = &routed.workspace->homes;
+    query.workspace_regions = &routed.workspace->homes;
   return query;
 }
 
 // Returns the same query for the base model.
-server_wish WithoutAdapter(server_wish query) {
+server_query WithoutAdapter(server_query query) {
   query.adapter = {};
   return query;
 }
@@ -69,8 +69,9 @@
     co_return tl::make_unexpected(holder.error());
   const auto server = core.servers.Find(*holder);
   if (server != nullptr) {
-    const holding_fact fact{true, std::chrono::steady_clock::now()};
-    server->facts[KeyOf(AdapterUnit(metadata.model, metadata.adapter))] = fact;
+    const residency_override fact{true, std::chrono::steady_clock::now()};
+    server->residency_overrides[KeyOf(
+        AdapterUnit(metadata.model, metadata.adapter))] = fact;
   }
   co_return base::result<void>();
 }
@@ -85,15 +86,15 @@
 
 // Describes a model request at the best server that holds the model.
 decisions::engine_candidate TurnOf(const routed_request& routed,
-                              const server_choice& choice,
-                              bool first_attempt,
-                              base::time_point now) {
+                                   const server_choice& choice,
+                                   bool first_attempt,
+                                   base::time_point now) {
   const milliseconds gap = routed.route->event_gap;
   decisions::engine_candidate turn;
   turn.waited = duration_cast<milliseconds>(now - routed.arrived);
   turn.objective = routed.route->objective;
   turn.response_in = choice.expected;
-  turn.prompt_backlog = choice.reading_ahead;
+  turn.prompt_backlog = choice.prefill_ahead;
   turn.max_event_gap = gap.count() > 0 ? gap : kDefaultEventGap;
   turn.recheck_interval = kSelectionRetryInterval;
   turn.refusable = first_attempt && !IsRetry(routed);
@@ -117,18 +118,18 @@
 
 // Describes a model that no server holds now.
 decisions::unavailable_model AbsentModelOf(host_core& core,
-                                      const routed_request& routed,
-                                      const server_wish& query,
-                                      base::time_point now) {
+                                           const routed_request& routed,
+                                           const server_query& query,
+                                           base::time_point now) {
   decisions::unavailable_model out;
   out.waited = duration_cast<milliseconds>(now - routed.arrived);
   out.objective =
       std::min(routed.route->objective,
                duration_cast<milliseconds>(routed.deadline - routed.arrived));
-  if (const auto due = core.servers.ComingAt(query, now))
+  if (const auto due = core.servers.EarliestLoadDue(query, now))
     out.ready_in =
         std::max(duration_cast<milliseconds>(*due - now), milliseconds(0));
-  out.local_load_time = core.servers.LoadAtHand(query, *routed.service);
+  out.local_load_time = core.servers.FastestLocalLoad(query, *routed.service);
   return out;
 }
 
@@ -138,11 +139,11 @@
                                            const routed_request& routed,
                                            base::time_point now) {
   std::vector<std::string> out = routed.failed_instances;
-  const server_wish query = QueryOf(routed);
+  const server_query query = QueryOf(routed);
   for (const auto& [instance, server] : core.servers.servers()) {
     const bool unusable = !decisions::AllowsRequests(server->trust, now) ||
                           server->IsLimited() ||
-                          !IsAtHome(query, server->region);
+                          !IsInAllowedRegion(query, server->region);
     if (server->entry.service == routed.service->name && unusable)
       out.push_back(instance);
   }
@@ -162,7 +163,7 @@
                                     const routed_request& routed,
                                     const server_choice& choice) {
   if (!core.take_permit) {
-    choice.server->closed_until =
+    choice.server->permit_retry_at =
         std::chrono::steady_clock::now() + kDefaultRetryAfter;
     co_return false;
   }
@@ -182,7 +183,7 @@
   if (!core.take_place)
     co_return std::move(local_choice);
   const auto now = std::chrono::steady_clock::now();
-  place_request slot_request;
+  slot_request slot_request;
   slot_request.service = routed.service->name;
   slot_request.priority = PriorityOf(routed);
   slot_request.left = RemainingObjective(routed, now);
@@ -195,11 +196,11 @@
   auto server = core.servers.Find((*slot)->server());
   // This host may have learned meanwhile that the server is not available.
   if (server == nullptr || !server->TakesRequests() ||
-      !IsAtHome(QueryOf(routed), server->region)) {
+      !IsInAllowedRegion(QueryOf(routed), server->region)) {
     co_return std::move(local_choice);
   }
   local_choice.server = std::move(server);
-  local_choice.place = std::move(*slot);
+  local_choice.slot = std::move(*slot);
   co_return std::move(local_choice);
 }
 
@@ -234,9 +235,9 @@
 // available if the request cannot wait that long, or nothing otherwise.
 std::optional<milliseconds> LatePermitDelay(host_core& core,
                                             const routed_request& routed,
-                                            const server_wish& query,
+                                            const server_query& query,
                                             base::time_point now) {
-  const auto permitted_at = core.servers.PermittedAt(query, now);
+  const auto permitted_at = core.servers.EarliestPermit(query, now);
   if (!permitted_at ||
       *permitted_at < ObjectiveCutoff(routed, kRefusalObjectiveFraction))
     return std::nullopt;
@@ -246,7 +247,7 @@
 // Whether a replica that is being loaded will be available in time.
 bool ReplicaArrivesInTime(host_core& core,
                           const routed_request& routed,
-                          const server_wish& query,
+                          const server_query& query,
                           base::time_point now) {
   if (query.model.empty())
     return false;
@@ -273,7 +274,7 @@
     const auto leaving = CheckStopDeadline(core, routed);
     if (leaving && first_attempt)
       co_return tl::make_unexpected(*leaving);
-    const server_wish query = QueryOf(routed);
+    const server_query query = QueryOf(routed);
     auto choice = core.servers.Choose(query, *routed.service, now, core.random);
     if (choice && !query.model.empty()) {
       const auto turn = TurnOf(routed, *choice, first_attempt, now);
--- a/tests/auto/host/test_relay.cc
+++ b/tests/auto/host/test_relay.cc
@@ -276,12 +276,12 @@
   relay_world here;
   const auto engine = here.AddEngine(milliseconds(1300));
   const auto now = std::chrono::steady_clock::now();
-  engine->coming[host::KeyOf("m")] = now + milliseconds(40);
+  engine->loads_due[host::KeyOf("m")] = now + milliseconds(40);
   const received_response seen =
       here.SendRequest("/once/", [&](fake_responder&) {
         const auto at = std::chrono::steady_clock::now();
         if (at >= now + milliseconds(40))
-          engine->facts[host::KeyOf("m")] = {true, at};
+          engine->residency_overrides[host::KeyOf("m")] = {true, at};
       });
   BOOST_TEST(seen.status == 200);
   BOOST_TEST(seen.body == "hello");
@@ -297,7 +297,7 @@
   relay_world here;
   const auto engine = here.AddEngine(milliseconds(1300));
   const auto now = std::chrono::steady_clock::now();
-  engine->coming[host::KeyOf("m")] = now + milliseconds(600);
+  engine->loads_due[host::KeyOf("m")] = now + milliseconds(600);
   const received_response seen =
       here.SendRequest("/stream/", [&](fake_responder&) {
         if (std::chrono::steady_clock::now() >= now + milliseconds(100))
