--- a/src/host/process/host.h
+++ b/src/host/process/host.h
@@ -11,7 +11,7 @@
 #include "base/error.h"
 #include "host/dialect.h"
 #include "host/host_settings.h"
-#include "host/process/reload_duty.h"
+#include "host/process/settings_reloader.h"
 #include "store/kv_client.h"
 
 namespace valeledge::host {
@@ -27,9 +27,9 @@
 // and seeds are in force at once, addresses from the next start on. Returns an
 // error if it could not start.
 base::result<void> RunHost(host_settings settings,
-                           dialect speech,
+                           dialect protocol,
                            const store_factory& make_store,
-                           settings_reader reread);
+                           settings_reader reload_settings);
 
 }  // namespace valeledge::host
 
--- a/src/host/process/limit_reading.cc
+++ b/src/host/process/limit_updates.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/limit_reading.h"
+#include "host/process/limit_updates.h"
 
 #include <cmath>
 #include <cstdint>
@@ -18,21 +18,21 @@
 constexpr std::string_view kCounter = "valeledge_server_limits_total";
 
 // Thousandths of a request a second.
-std::int64_t MilliOf(double rate) {
-  constexpr double kMost = 1e15;
-  return std::llround(std::fmin(rate * 1000, kMost));
+std::int64_t MilliRequestsPerSecond(double rate) {
+  constexpr double kMaxRate = 1e15;
+  return std::llround(std::fmin(rate * 1000, kMaxRate));
 }
 
 // `told`: by another host.
 void LogChange(host_core& core,
                const known_server& server,
                limit_change change,
-               bool told) {
+               bool from_peer) {
   const std::string& instance = server.entry.instance;
   if (change == limit_change::kWithdrawn) {
     core.metrics.Counter(kCounter, "withdrawn").Add();
     base::Log(kCategory, log_event::kServerLimitEnded,
-              {{"server", instance}, {"told", std::int64_t{told}}});
+              {{"server", instance}, {"told", std::int64_t{from_peer}}});
     return;
   }
   const bool is_new = change == limit_change::kAdvertised;
@@ -40,12 +40,13 @@
   base::Log(kCategory, log_event::kServerLimitSeen,
             {{"server", instance},
              {"service", server.entry.service},
-             {"milli_a_second", MilliOf(server.advertised.limit->rate)},
+             {"milli_a_second",
+              MilliRequestsPerSecond(server.advertised.limit->rate)},
              {"new", std::int64_t{is_new}},
-             {"told", std::int64_t{told}}});
+             {"told", std::int64_t{from_peer}}});
 }
 
-void NoteUnreadable(host_core& core, known_server& server) {
+void RecordUnreadable(host_core& core, known_server& server) {
   core.metrics.Counter(kCounter, "unreadable").Add();
   if (!server.limit_unreadable) {
     base::Log(kCategory, log_event::kServerLimitUnreadable,
@@ -56,23 +57,24 @@
 
 }  // namespace
 
-void ReadLimit(host_core& core,
-               known_server& server,
-               const answer_head& response,
-               base::time_point sent) {
+void ApplyResponseLimit(host_core& core,
+                        known_server& server,
+                        const answer_head& response,
+                        base::time_point sent) {
   // Another instance may have the address by now.
   if (response.misdirected)
     return;
   if (response.limit_unreadable) {
-    NoteUnreadable(core, server);
+    RecordUnreadable(core, server);
     return;
   }
   // Refusals of a busy server need not carry the field.
   if (!response.limit && response.not_run)
     return;
-  const decisions::limit_observation seen{response.limit, sent,
-                                          std::chrono::steady_clock::now()};
-  const limit_change change = decisions::Observe(server.advertised, seen);
+  const decisions::limit_observation observation{
+      response.limit, sent, std::chrono::steady_clock::now()};
+  const limit_change change =
+      decisions::Observe(server.advertised, observation);
   if (change == limit_change::kNone)
     return;
   LogChange(core, server, change, false);
@@ -80,9 +82,9 @@
     core.limit_changed(server);
 }
 
-void MergeLimit(host_core& core,
-                known_server& server,
-                const decisions::limit_report& report) {
+void MergeReportedLimit(host_core& core,
+                        known_server& server,
+                        const decisions::limit_report& report) {
   const limit_change change = decisions::Merge(server.advertised, report);
   if (change != limit_change::kNone)
     LogChange(core, server, change, true);
--- a/src/host/process/load_reports.cc
+++ b/src/host/process/load_reports.cc
@@ -62,21 +62,21 @@
 void load_reports::Report(bool follows_store) {
   wire::host_load load;
   load.servers = core_.servers.OwnLoads();
-  PutAnswer(mirror_.NewestAnswer(), load);
+  PutAnswer(mirror_.NewestResponse(), load);
   const auto holder = placement_.holder();
   const bool uses = !load.servers.empty();
   const bool used = std::exchange(told_any_use_, uses);
   if (holder) {
     const std::string value = wire::Encode(load);
-    peers_.Tell(std::string(kLoadRecord), value,
+    peers_.Send(std::string(kLoadRecord), value,
                 {uses || used ? kMostTold : kToldByIdle});
     if (follows_store && mirror_.IsCurrent()) {
-      peers_.Tell(std::string(kLoadRecord), value,
+      peers_.Send(std::string(kLoadRecord), value,
                   {kAllHosts, {}, std::nullopt, core_.settings.zone});
     }
   }
   load.models = core_.demand.Loads();
-  peers_.Tell(std::string(kDemandRecord), wire::Encode(load),
+  peers_.Send(std::string(kDemandRecord), wire::Encode(load),
               {holder ? 0 : kMostTold, {}, holder});
 }
 
@@ -86,7 +86,7 @@
     return;
   wire::host_load load;
   load.servers.push_back(server_registry::OwnLoad(server));
-  peers_.Tell(std::string(kUseRecord), wire::Encode(load),
+  peers_.Send(std::string(kUseRecord), wire::Encode(load),
               {kMostTold, server.entry.instance, std::nullopt});
 }
 
@@ -103,7 +103,7 @@
     return true;
   }
   if (load->store_age_ms >= 0)
-    mirror_.HearAnswer(ToldAnswerOf(*load));
+    mirror_.RecordReportedResponse(ToldAnswerOf(*load));
   core_.servers.TakeLoads(record.sender, load->servers);
   if (with_demand)
     placement_.TakeDemand(record.sender, load->models);
--- a/src/host/process/order_dispatcher.cc
+++ b/src/host/process/order_dispatcher.cc
@@ -132,13 +132,13 @@
 asio::awaitable<void> order_dispatcher::Ask(engine_ptr engine) {
   engine->ask_at.reset();
   const auto& entry = engine->server->entry;
-  auto question = core_.speech.make_state_question(entry.instance);
+  auto question = core_.protocol.make_state_question(entry.instance);
   const auto answer = co_await core_.http.Fetch(
       entry.address, std::move(question), kOrderTimeout);
   engine->asking = false;
   const bool answered = answer && answer->result_int() == 200;
   const auto state = answered
-                         ? core_.speech.decode_state(answer->body())
+                         ? core_.protocol.decode_state(answer->body())
                          : base::result<catalog::engine_state>(base::NotRun(
                                result_code::kPeerUnreachable, "no state"));
   // What it says may be older than the last order that it accepted.
@@ -186,14 +186,14 @@
   if (order.term == 0)
     co_return order_reply::kFenced;
   engine->sending = true;
-  auto request = core_.speech.make_order(order);
+  auto request = core_.protocol.make_order(order);
   const auto answer = co_await core_.http.Fetch(
       engine->server->entry.address, std::move(request), kOrderTimeout);
   engine->sending = false;
   order_reply reply = order_reply::kUnknown;
   if (answer)
     reply =
-        core_.speech.read_order_reply(static_cast<int>(answer->result_int()));
+        core_.protocol.read_order_reply(static_cast<int>(answer->result_int()));
   // An adapter that no request uses is unloaded at once, and counts.
   const bool counted = reply == order_reply::kAccepted ||
                        (reply == order_reply::kHolds && !adapter.empty() &&
--- /dev/null
+++ b/src/host/process/owner_services.cc
@@ -0,0 +1,109 @@
+// SPDX-License-Identifier: MIT
+#include "host/process/owner_services.h"
+
+#include <string>
+#include <utility>
+
+namespace valeledge::host {
+
+namespace {
+
+namespace asio = boost::asio;
+
+// Subjects by which the host is chosen; the name of the workspace, or of the
+// service, follows.
+constexpr std::string_view kLimitSubject = "limit/";
+constexpr std::string_view kSlotSubject = "places/";
+
+// Asked for each request, a host should have more to spend than others.
+constexpr std::int32_t kPreferredRoles = membership::kWideLink;
+
+}  // namespace
+
+owner_services::owner_services(host_core& core, peer_link& peers)
+    : core_(core),
+      peers_(peers),
+      limits_(core, MakeLimitCallbacks()),
+      slots_(core, MakeSlotCallbacks()) {
+  core_.acquire_limit = [this](std::string workspace, double count) {
+    return limits_.Acquire(std::move(workspace), count);
+  };
+  core_.release_limit = [this](const std::string& workspace, double count) {
+    limits_.Release(workspace, count);
+  };
+  if (!core_.settings.deals_places)
+    return;
+  core_.acquire_slot = [this](place_request wanted) {
+    return slots_.Take(std::move(wanted));
+  };
+}
+
+workspace_limit_callbacks owner_services::MakeLimitCallbacks() {
+  workspace_limit_callbacks callbacks;
+  callbacks.owner = [this](const std::string& workspace) {
+    return peers_.FirstHealthy(std::string(kLimitSubject) + workspace,
+                               kPreferredRoles);
+  };
+  callbacks.members = [this] {
+    decisions::limit_members members;
+    members.visible_fraction = peers_.VisibleFraction();
+    members.known = peers_.CountKnown();
+    members.is_whole = peers_.AreAllHealthy();
+    return members;
+  };
+  callbacks.call = [this](base::endpoint where, wire::envelope call,
+                          std::chrono::microseconds timeout) {
+    return peers_.Call(std::move(where), std::move(call), timeout);
+  };
+  callbacks.suspect = [this](const base::endpoint& owner) {
+    peers_.Suspect(owner);
+  };
+  return callbacks;
+}
+
+place_links owner_services::MakeSlotCallbacks() {
+  place_links callbacks;
+  callbacks.dealer = [this](const std::string& service) {
+    return peers_.FirstHealthy(std::string(kSlotSubject) + service,
+                               kPreferredRoles);
+  };
+  callbacks.call = [this](base::endpoint where, wire::envelope call,
+                          std::chrono::microseconds timeout) {
+    return peers_.Call(std::move(where), std::move(call), timeout);
+  };
+  callbacks.doubt = [this](const base::endpoint& allocator) {
+    peers_.Suspect(allocator);
+  };
+  return callbacks;
+}
+
+void owner_services::OnMemberJoined() {
+  limits_.OnMemberJoined(std::chrono::steady_clock::now());
+}
+
+void owner_services::Tick(base::time_point now) {
+  limits_.Tick(now);
+  slots_.Roll(now);
+}
+
+bool owner_services::Handles(const wire::envelope& call) {
+  return call.__isset.limit_wanted || call.__isset.place_wanted ||
+         call.__isset.place_ended;
+}
+
+asio::awaitable<wire::envelope> owner_services::HandleCall(
+    wire::envelope call) {
+  wire::envelope reply;
+  if (call.__isset.limit_wanted) {
+    reply.__set_limit(limits_.HandleRequest(call.limit_wanted));
+  } else if (call.__isset.place_wanted) {
+    const auto place = co_await slots_.Answer(std::move(call.place_wanted));
+    reply.__set_place(place);
+  } else {
+    slots_.TakeBack(call.place_ended);
+    reply.__set_done({});
+  }
+  co_return reply;
+}
+
+}  // namespace valeledge::host
--- a/src/host/process/peer_link.cc
+++ b/src/host/process/peer_link.cc
@@ -29,13 +29,13 @@
 constexpr double kWideLinkBytes = 50e6 / 8;
 
 // Datagrams of membership itself, among those of other kinds.
-constexpr std::string_view kMembership = "membership";
+constexpr std::string_view kMembershipKind = "membership";
 
 constexpr std::size_t kAllHosts = std::numeric_limits<std::size_t>::max();
 
 // Hosts of each availability zone that hand news on to the others of it: two,
 // since one may have ended.
-constexpr std::string_view kRelayDuty = "relay/placed";
+constexpr std::string_view kRelaySubject = "relay/placed";
 constexpr std::size_t kRelaysPerZone = 2;
 
 std::int32_t RolesOf(const host_settings& settings) {
@@ -50,7 +50,7 @@
   const bool direct = message.kind == static_cast<std::int32_t>(
                                           membership::gossip_kind::kDirect);
   return direct && !message.records.empty() ? message.records.front().key
-                                            : std::string(kMembership);
+                                            : std::string(kMembershipKind);
 }
 
 membership::gossip_state MakeGossip(const host_settings& settings) {
@@ -82,9 +82,9 @@
                    Receive(bytes, from);
                  }),
       channels_(context),
-      copies_(context),
+      snapshot_channels_(context),
       calls_(context, events_.call) {
-  first_seeds_ = gossip_.seeds;
+  configured_seeds_ = gossip_.seeds;
 }
 
 peer_link::~peer_link() = default;
@@ -103,7 +103,7 @@
 asio::awaitable<void> peer_link::TickLoop() {
   asio::steady_timer timer(context_);
   while (true) {
-    Publish(
+    Dispatch(
         membership::Tick(gossip_, std::chrono::steady_clock::now(), random_));
     timer.expires_after(kGossipTick);
     co_await timer.async_wait(kAwait);
@@ -114,51 +114,51 @@
   const auto message = wire::DecodeGossip(bytes);
   if (!message)
     return;
-  Publish(membership::Receive(gossip_, *message, from,
-                              std::chrono::steady_clock::now(), random_));
+  Dispatch(membership::Receive(gossip_, *message, from,
+                               std::chrono::steady_clock::now(), random_));
 }
 
-void peer_link::Publish(membership::gossip_events events) {
+void peer_link::Dispatch(membership::gossip_events events) {
   for (const membership::outgoing& each : events.datagrams) {
     const std::string bytes = wire::Encode(each.message);
-    told_bytes_[KindOf(each.message)] +=
+    sent_bytes_[KindOf(each.message)] +=
         static_cast<std::int64_t>(bytes.size() * each.to.size());
     for (const base::endpoint& to : each.to)
       datagrams_.Send(to, bytes);
   }
   for (const membership::direct_record& each : events.direct)
-    events_.told(each);
+    events_.record_received(each);
   for (const std::string& name : events.changed) {
     const auto found = gossip_.others.find(name);
     const auto dead =
         static_cast<std::int32_t>(membership::member_health::kDead);
     if (found == gossip_.others.end() || found->second.record.health == dead)
-      dead_.push_back(name);
+      dead_hosts_.push_back(name);
   }
   if (!events.changed.empty()) {
     const std::int64_t serving = CountServing();
     if (serving > std::exchange(serving_, serving))
-      events_.joined();
-    events_.members();
+      events_.host_joined();
+    events_.members_changed();
   }
   if (events.newer_table_at) {
-    events_.newer_copy(*events.newer_table_at,
-                       events.newer_table_zone == gossip_.self.zone);
+    events_.newer_snapshot(*events.newer_table_at,
+                           events.newer_table_zone == gossip_.self.zone);
   }
 }
 
-void peer_link::Tell(const std::string& key,
+void peer_link::Send(const std::string& key,
                      std::string value,
-                     const membership::direct_audience& audience) {
-  Publish(membership::TellDirectly(gossip_, key, std::move(value), audience,
-                                   random_));
+                     const membership::direct_audience& recipients) {
+  Dispatch(membership::TellDirectly(gossip_, key, std::move(value), recipients,
+                                    random_));
 }
 
 void peer_link::Broadcast(
     const std::string& key,
     const std::function<std::string(bool hand_on)>& encode) {
   if (static_cast<std::size_t>(CountServing()) <= kMostTold) {
-    Tell(key, encode(false), {kAllHosts, {}, std::nullopt});
+    Send(key, encode(false), {kAllHosts, {}, std::nullopt});
     return;
   }
   BroadcastInZone(key, encode(false));
@@ -166,7 +166,7 @@
 }
 
 void peer_link::BroadcastInZone(const std::string& key, std::string value) {
-  Tell(key, std::move(value), {kAllHosts, {}, std::nullopt, gossip_.self.zone});
+  Send(key, std::move(value), {kAllHosts, {}, std::nullopt, gossip_.self.zone});
 }
 
 void peer_link::SendToRelays(const std::string& key, const std::string& value) {
@@ -175,27 +175,27 @@
     zones.insert(each.record.zone);
   zones.erase(gossip_.self.zone);
   for (const std::string& zone : zones)
-    Tell(key, value,
-         {kRelaysPerZone, std::string(kRelayDuty), std::nullopt, zone});
+    Send(key, value,
+         {kRelaysPerZone, std::string(kRelaySubject), std::nullopt, zone});
 }
 
 bool peer_link::IsChosen(const std::string& subject,
                          std::size_t count,
                          scope among,
-                         std::int32_t prefers) {
+                         std::int32_t preferred_roles) {
   const std::string zone = among == scope::kZone ? gossip_.self.zone : "";
-  const auto& chosen =
-      membership::ChosenMembers(gossip_, {subject, zone, count, prefers});
+  const auto& chosen = membership::ChosenMembers(
+      gossip_, {subject, zone, count, preferred_roles});
   return std::ranges::find(chosen, gossip_.self.id) != chosen.end();
 }
 
 std::vector<base::endpoint> peer_link::ChosenAddresses(
     const std::string& subject,
     std::size_t count,
-    std::int32_t prefers) {
+    std::int32_t preferred_roles) {
   std::vector<base::endpoint> out;
-  for (const std::string& id :
-       membership::ChosenMembers(gossip_, {subject, {}, count, prefers})) {
+  for (const std::string& id : membership::ChosenMembers(
+           gossip_, {subject, {}, count, preferred_roles})) {
     const auto known = gossip_.others.find(id);
     if (known != gossip_.others.end())
       out.push_back(known->second.address);
@@ -205,14 +205,15 @@
   return out;
 }
 
-std::optional<base::endpoint> peer_link::FirstSound(const std::string& subject,
-                                                    std::int32_t prefers) {
+std::optional<base::endpoint> peer_link::FirstHealthy(
+    const std::string& subject,
+    std::int32_t preferred_roles) {
   // More of them than this are hardly doubted at a time.
-  constexpr std::size_t kLooked = 4;
+  constexpr std::size_t kMaxCandidates = 4;
   const auto alive =
       static_cast<std::int32_t>(membership::member_health::kAlive);
-  for (const std::string& id :
-       membership::ChosenMembers(gossip_, {subject, {}, kLooked, prefers})) {
+  for (const std::string& id : membership::ChosenMembers(
+           gossip_, {subject, {}, kMaxCandidates, preferred_roles})) {
     if (id == gossip_.self.id)
       return listen_;
     const auto known = gossip_.others.find(id);
@@ -222,12 +223,12 @@
   return std::nullopt;
 }
 
-void peer_link::Doubt(const base::endpoint& where) {
+void peer_link::Suspect(const base::endpoint& where) {
   membership::ProbeNext(gossip_, where);
 }
 
 void peer_link::AnnounceLeaving() {
-  Publish(membership::AnnounceLeaving(gossip_, random_));
+  Dispatch(membership::AnnounceLeaving(gossip_, random_));
 }
 
 void peer_link::AnnounceRevision(std::int64_t revision) {
@@ -235,7 +236,7 @@
 }
 
 void peer_link::SetSeeds(const std::vector<base::endpoint>& seeds) {
-  gossip_.seeds = first_seeds_;
+  gossip_.seeds = configured_seeds_;
   for (const base::endpoint& each : seeds) {
     const bool known =
         std::ranges::find(gossip_.seeds, each) != gossip_.seeds.end();
@@ -264,7 +265,7 @@
          static_cast<double>(CountKnown());
 }
 
-bool peer_link::IsWhole() const {
+bool peer_link::AreAllHealthy() const {
   const auto alive =
       static_cast<std::int32_t>(membership::member_health::kAlive);
   return std::ranges::all_of(gossip_.others, [alive](const auto& each) {
@@ -273,8 +274,8 @@
   });
 }
 
-std::vector<std::string> peer_link::TakeDead() {
-  return std::exchange(dead_, {});
+std::vector<std::string> peer_link::TakeDeadHosts() {
+  return std::exchange(dead_hosts_, {});
 }
 
 asio::awaitable<base::result<wire::envelope>> peer_link::Call(
@@ -286,23 +287,24 @@
   co_return reply;
 }
 
-asio::awaitable<base::result<wire::envelope>> peer_link::CallForCopy(
+asio::awaitable<base::result<wire::envelope>> peer_link::CallForSnapshot(
     base::endpoint where,
     wire::envelope call,
     net::reply_limit limit) {
-  auto reply = co_await copies_.Call(where, std::move(call), std::move(limit));
+  auto reply = co_await snapshot_channels_.Call(where, std::move(call),
+                                                std::move(limit));
   if (!reply)
-    copies_.Drop(where);
+    snapshot_channels_.Drop(where);
   co_return reply;
 }
 
-void peer_link::DropCopy(const base::endpoint& where) {
-  copies_.Drop(where);
+void peer_link::CancelSnapshot(const base::endpoint& where) {
+  snapshot_channels_.Drop(where);
 }
 
 std::int64_t peer_link::bytes() const {
   return datagrams_.bytes_sent() + channels_.bytes_sent() +
-         copies_.bytes_sent() + calls_.bytes_sent();
+         snapshot_channels_.bytes_sent() + calls_.bytes_sent();
 }
 
 }  // namespace valeledge::host
--- a/src/host/process/peer_link.h
+++ b/src/host/process/peer_link.h
@@ -31,14 +31,15 @@
 // What the owner of the link wants to know; runs on the host's thread.
 struct peer_events {
   // Another host told this one a fact directly.
-  std::function<void(const membership::direct_record& record)> told;
+  std::function<void(const membership::direct_record& record)> record_received;
   // A member came, left or changed its health.
-  std::function<void()> members;
+  std::function<void()> members_changed;
   // A host that was not known before takes requests.
-  std::function<void()> joined;
+  std::function<void()> host_joined;
   // This peer's copy of the store is newer than ours; whether it is of this
   // host's availability zone.
-  std::function<void(const base::endpoint& peer, bool same_zone)> newer_copy;
+  std::function<void(const base::endpoint& peer, bool same_zone)>
+      newer_snapshot;
   net::rpc_handler call;
 };
 
@@ -52,9 +53,9 @@
   base::result<void> Start();
 
   // Tells a fact of this host to others.
-  void Tell(const std::string& key,
+  void Send(const std::string& key,
             std::string value,
-            const membership::direct_audience& audience);
+            const membership::direct_audience& recipients);
   // Tells a fact to all other hosts: where there are many, to those of this
   // availability zone, and to some of each other zone, which hand it on.
   // `encode`: the value for those that hand it on, or for all others.
@@ -69,18 +70,18 @@
   bool IsChosen(const std::string& subject,
                 std::size_t count,
                 scope among,
-                std::int32_t prefers = 0);
+                std::int32_t preferred_roles = 0);
   // Addresses of those that are chosen for a subject among all, best first;
   // this host's own may be one.
   std::vector<base::endpoint> ChosenAddresses(const std::string& subject,
                                               std::size_t count,
-                                              std::int32_t prefers = 0);
+                                              std::int32_t preferred_roles = 0);
   // The address of the first that is chosen for a subject and that nobody takes
   // for dead or doubts; nothing if there is none.
-  std::optional<base::endpoint> FirstSound(const std::string& subject,
-                                           std::int32_t prefers);
+  std::optional<base::endpoint> FirstHealthy(const std::string& subject,
+                                             std::int32_t preferred_roles);
   // A host did not answer in time, and is looked at next.
-  void Doubt(const base::endpoint& where);
+  void Suspect(const base::endpoint& where);
   void AnnounceLeaving();
   // This host's copy of the store has this revision.
   void AnnounceRevision(std::int64_t revision);
@@ -96,9 +97,9 @@
   std::int64_t CountKnown() const;
   double VisibleFraction() const;
   // Whether nobody who has not left is suspected or dead.
-  bool IsWhole() const;
+  bool AreAllHealthy() const;
   // Names of hosts that were found dead since the last call.
-  std::vector<std::string> TakeDead();
+  std::vector<std::string> TakeDeadHosts();
 
   boost::asio::awaitable<base::result<wire::envelope>> Call(
       base::endpoint where,
@@ -107,40 +108,40 @@
   // Asks for a copy of the store, on a connection of its own: short calls do
   // not wait behind it, and what is left of one that is given up is not
   // carried.
-  boost::asio::awaitable<base::result<wire::envelope>> CallForCopy(
+  boost::asio::awaitable<base::result<wire::envelope>> CallForSnapshot(
       base::endpoint where,
       wire::envelope call,
       net::reply_limit limit);
   // The copy that a peer was asked for is not wanted any more.
-  void DropCopy(const base::endpoint& where);
+  void CancelSnapshot(const base::endpoint& where);
   // Bytes of replies that wait to be sent to other hosts.
   std::int64_t QueuedBytes() const { return calls_.queued_bytes(); }
 
   std::int64_t bytes() const;
   // Bytes of datagrams sent so far, by the kind of what they tell.
-  const std::map<std::string, std::int64_t>& told_bytes() const {
-    return told_bytes_;
+  const std::map<std::string, std::int64_t>& sent_bytes() const {
+    return sent_bytes_;
   }
 
  private:
   void SendToRelays(const std::string& key, const std::string& value);
   void Receive(std::string_view bytes, const base::endpoint& from);
-  void Publish(membership::gossip_events events);
+  void Dispatch(membership::gossip_events events);
   boost::asio::awaitable<void> TickLoop();
 
   boost::asio::io_context& context_;
   base::endpoint listen_;
-  std::vector<base::endpoint> first_seeds_;
+  std::vector<base::endpoint> configured_seeds_;
   peer_events events_;
   std::mt19937_64 random_{std::random_device{}()};
   membership::gossip_state gossip_;
   net::udp_socket datagrams_;
   net::rpc_channel_set channels_;
-  net::rpc_channel_set copies_;
+  net::rpc_channel_set snapshot_channels_;
   net::rpc_server calls_;
-  std::vector<std::string> dead_;
+  std::vector<std::string> dead_hosts_;
   std::int64_t serving_ = 1;
-  std::map<std::string, std::int64_t> told_bytes_;
+  std::map<std::string, std::int64_t> sent_bytes_;
 };
 
 }  // namespace valeledge::host
--- a/src/host/process/placement_controller.cc
+++ b/src/host/process/placement_controller.cc
@@ -394,7 +394,7 @@
   const std::size_t count = std::min(kEnginesInNews, engines.size());
   for (std::size_t i = 0; i < count; ++i)
     some.push_back(engines[next_told_++ % engines.size()]);
-  peers_.Tell(std::string(kPlacedRecord), wire::Encode(NewsOf(some)),
+  peers_.Send(std::string(kPlacedRecord), wire::Encode(NewsOf(some)),
               {kMostTold, {}, std::nullopt});
 }
 
--- a/src/host/process/quarantine_duty.cc
+++ b/src/host/process/quarantine_coordinator.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/quarantine_duty.h"
+#include "host/process/quarantine_coordinator.h"
 
 #include <charconv>
 #include <optional>
@@ -34,30 +34,30 @@
 // told for so long: datagrams get lost, and others are cut off, frozen or
 // starting. Told of all requests that were at an end, this would be up to 40
 // KB a second from each host.
-constexpr std::chrono::seconds kToldFor{10};
+constexpr std::chrono::seconds kRepublishPeriod{10};
 // Requests share so many subjects, by which those who hear of their ends are
 // chosen: enough that no host hears of most, and few enough to be remembered.
-constexpr std::uint64_t kSubjects = 64;
+constexpr std::uint64_t kSubjectCount = 64;
 
 // Hosts that are not the first chosen write a hold if they have not seen it in
 // the store after this time, and up to as long again: the first one may be
 // slow, cut off or dead, and hosts that hear of ends from nobody have three
 // seconds in all. Its own write is mostly seen by then; one too many costs a
 // call.
-constexpr milliseconds kOthersWrite{700};
+constexpr milliseconds kFallbackWriteDelay{700};
 // After a call to the store that failed.
-constexpr milliseconds kWritePause{500};
+constexpr milliseconds kWriteRetryDelay{500};
 
 std::string SubjectOf(std::uint64_t digest) {
-  return "ends/" + std::to_string(digest % kSubjects);
+  return "ends/" + std::to_string(digest % kSubjectCount);
 }
 
-std::string KeyOfHold(std::uint64_t digest) {
+std::string QuarantineKey(std::uint64_t digest) {
   return std::string(store::kHeldPrefix) + base::HexText(digest);
 }
 
 // The digest in a key; nothing if the key is of something else.
-std::optional<std::uint64_t> DigestInKey(std::string_view key) {
+std::optional<std::uint64_t> ParseDigest(std::string_view key) {
   if (!key.starts_with(store::kHeldPrefix))
     return std::nullopt;
   const std::string_view text = key.substr(store::kHeldPrefix.size());
@@ -71,77 +71,79 @@
 
 }  // namespace
 
-quarantine_duty::quarantine_duty(host_core& core,
-                                 store::kv_client& store,
-                                 quarantine_links links)
-    : core_(core), store_(store), links_(std::move(links)) {}
+quarantine_coordinator::quarantine_coordinator(host_core& core,
+                                               store::kv_client& store,
+                                               quarantine_callbacks callbacks)
+    : core_(core), store_(store), callbacks_(std::move(callbacks)) {}
 
-void quarantine_duty::NoteEnd(std::uint64_t digest,
-                              const decisions::server_end& end) {
+void quarantine_coordinator::OnServerCrash(std::uint64_t digest,
+                                           const decisions::server_end& end) {
   const auto now = std::chrono::steady_clock::now();
-  Tell({digest, end, now});
+  Publish({digest, end, now});
   if (decisions::NoteEnd(core_.quarantine, digest, end, now))
-    Hold(digest, "ends");
+    BeginQuarantine(digest, "ends");
 }
 
-void quarantine_duty::NoteWhole(std::uint64_t digest) {
+void quarantine_coordinator::OnCompletedResponse(std::uint64_t digest) {
   if (decisions::NoteWhole(core_.quarantine, digest))
-    Tell({digest, std::nullopt, std::chrono::steady_clock::now()});
+    Publish({digest, std::nullopt, std::chrono::steady_clock::now()});
 }
 
-void quarantine_duty::Tell(const decisions::quarantine_fact& fact) {
-  decisions::AddFact(told_, fact);
-  const auto news = decisions::NewsOf({fact}, fact.at);
-  links_.tell(wire::Encode(news), {kMostTold, SubjectOf(fact.digest), {}});
+void quarantine_coordinator::Publish(const decisions::quarantine_fact& fact) {
+  decisions::AddFact(published_, fact);
+  const auto update = decisions::NewsOf({fact}, fact.at);
+  callbacks_.send(wire::Encode(update),
+                  {kMostTold, SubjectOf(fact.digest), {}});
 }
 
-void quarantine_duty::Republish() {
+void quarantine_coordinator::Republish() {
   const auto now = std::chrono::steady_clock::now();
   decisions::Sweep(core_.quarantine, now);
-  while (!told_.empty() && now - told_.front().at >= kToldFor)
-    told_.pop_front();
-  decisions::quarantine_facts worth_telling;
-  for (const decisions::quarantine_fact& each : told_) {
+  while (!published_.empty() && now - published_.front().at >= kRepublishPeriod)
+    published_.pop_front();
+  decisions::quarantine_facts repeated;
+  for (const decisions::quarantine_fact& each : published_) {
     if (!each.end || decisions::IsSuspected(core_.quarantine, each.digest))
-      worth_telling.push_back(each);
+      repeated.push_back(each);
   }
-  if (worth_telling.empty())
+  if (repeated.empty())
     return;
-  const auto news = decisions::NewsOf(worth_telling, now);
-  links_.tell(wire::Encode(news), {kMostTold, {}, {}});
+  const auto update = decisions::NewsOf(repeated, now);
+  callbacks_.send(wire::Encode(update), {kMostTold, {}, {}});
 }
 
-void quarantine_duty::TakeNews(const wire::end_news& news) {
-  decisions::DropCleared(told_, news);
+void quarantine_coordinator::HandleUpdate(const wire::end_news& update) {
+  decisions::DropCleared(published_, update);
   const auto now = std::chrono::steady_clock::now();
   for (const std::uint64_t digest :
-       decisions::TakeNews(core_.quarantine, news, now))
-    Hold(digest, "told");
+       decisions::TakeNews(core_.quarantine, update, now))
+    BeginQuarantine(digest, "told");
 }
 
-void quarantine_duty::Hold(std::uint64_t digest, std::string_view by) {
+void quarantine_coordinator::BeginQuarantine(std::uint64_t digest,
+                                             std::string_view by) {
   base::Log(kCategory, log_event::kRequestHeld,
             {{"digest", base::HexText(digest)}, {"by", std::string(by)}});
   if (by != "store")
-    asio::co_spawn(core_.context, Keep(digest), asio::detached);
+    asio::co_spawn(core_.context, StoreQuarantine(digest), asio::detached);
 }
 
-bool quarantine_duty::PutKey(std::string_view key) {
-  const auto digest = DigestInKey(key);
+bool quarantine_coordinator::PutKey(std::string_view key) {
+  const auto digest = ParseDigest(key);
   if (!digest)
     return false;
-  kept_.insert(*digest);
+  stored_.insert(*digest);
   const auto now = std::chrono::steady_clock::now();
   if (decisions::NoteHeld(core_.quarantine, *digest, now))
-    Hold(*digest, "store");
+    BeginQuarantine(*digest, "store");
   return true;
 }
 
-bool quarantine_duty::RemoveKey(std::string_view key, bool lapsed) {
-  const auto digest = DigestInKey(key);
+bool quarantine_coordinator::RemoveKey(std::string_view key, bool lapsed) {
+  const auto digest = ParseDigest(key);
   if (!digest)
     return false;
-  kept_.erase(*digest);
+  stored_.erase(*digest);
   if (lapsed)
     return true;
   decisions::Release(core_.quarantine, *digest,
@@ -152,30 +154,33 @@
 }
 
 // Has the store say that a request is held back.
-asio::awaitable<void> quarantine_duty::Keep(std::uint64_t digest) {
+asio::awaitable<void> quarantine_coordinator::StoreQuarantine(
+    std::uint64_t digest) {
   asio::steady_timer timer(core_.context);
-  if (!links_.is_first(SubjectOf(digest))) {
-    std::uniform_int_distribution<std::int64_t> any(0, kOthersWrite.count());
-    timer.expires_after(kOthersWrite + milliseconds(any(core_.random)));
+  if (!callbacks_.is_first(SubjectOf(digest))) {
+    std::uniform_int_distribution<std::int64_t> distribution(
+        0, kFallbackWriteDelay.count());
+    timer.expires_after(kFallbackWriteDelay +
+                        milliseconds(distribution(core_.random)));
     co_await timer.async_wait(kAwait);
   }
-  while (!kept_.contains(digest) &&
+  while (!stored_.contains(digest) &&
          decisions::HeldFor(core_.quarantine, digest,
                             std::chrono::steady_clock::now())) {
-    const bool written = co_await Write(digest);
+    const bool written = co_await WriteKey(digest);
     if (written)
       co_return;
-    timer.expires_after(kWritePause);
+    timer.expires_after(kWriteRetryDelay);
     co_await timer.async_wait(kAwait);
   }
 }
 
-asio::awaitable<bool> quarantine_duty::Write(std::uint64_t digest) {
+asio::awaitable<bool> quarantine_coordinator::WriteKey(std::uint64_t digest) {
   const auto lease = co_await store_.GrantLease(
       duration_cast<std::chrono::seconds>(decisions::kHoldTime));
   if (!lease)
     co_return false;
-  const std::string key = KeyOfHold(digest);
+  const std::string key = QuarantineKey(digest);
   store::kv_transaction write;
   write.conditions.push_back(store::Absent(key));
   write.on_success.push_back(store::Put(key, core_.settings.name, *lease));
--- a/src/host/process/quarantine_duty.h
+++ b/src/host/process/quarantine_coordinator.h
@@ -8,8 +8,8 @@
 // ends under one request, and what they find is known to the others, and to
 // hosts that start later, by a key in the store. While the store is away, those
 // who have heard act all the same.
-#ifndef VALELEDGE_HOST_PROCESS_QUARANTINE_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_QUARANTINE_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_QUARANTINE_COORDINATOR_H_
+#define VALELEDGE_HOST_PROCESS_QUARANTINE_COORDINATOR_H_
 
 #include <cstdint>
 #include <functional>
@@ -28,31 +28,31 @@
 namespace valeledge::host {
 
 // Key of the record in which a host tells of ends.
-inline constexpr std::string_view kEndsRecord = "ends";
+inline constexpr std::string_view kCrashesRecord = "ends";
 
 // What the duty needs of the others; runs on the host's thread.
-struct quarantine_links {
+struct quarantine_callbacks {
   // Tells other hosts directly.
   std::function<void(const std::string& value,
                      const membership::direct_audience& audience)>
-      tell;
+      send;
   // Whether this host is the first of those that are chosen for a subject.
   std::function<bool(const std::string& subject)> is_first;
 };
 
-class quarantine_duty {
+class quarantine_coordinator {
  public:
-  quarantine_duty(host_core& core,
-                  store::kv_client& store,
-                  quarantine_links links);
+  quarantine_coordinator(host_core& core,
+                         store::kv_client& store,
+                         quarantine_callbacks callbacks);
 
   // A server has ended while a request of this host was there.
-  void NoteEnd(std::uint64_t digest, const decisions::server_end& end);
+  void OnServerCrash(std::uint64_t digest, const decisions::server_end& end);
   // A server has answered a request of this host whole.
-  void NoteWhole(std::uint64_t digest);
+  void OnCompletedResponse(std::uint64_t digest);
 
   // Takes in what another host tells.
-  void TakeNews(const wire::end_news& news);
+  void HandleUpdate(const wire::end_news& update);
   // What the store says of a key; true if it is one of a request that is held
   // back. `lapsed`: the store has been in trouble, and the hold goes on.
   bool PutKey(std::string_view key);
@@ -63,20 +63,20 @@
   void Republish();
 
  private:
-  void Tell(const decisions::quarantine_fact& fact);
-  void Hold(std::uint64_t digest, std::string_view by);
-  boost::asio::awaitable<void> Keep(std::uint64_t digest);
-  boost::asio::awaitable<bool> Write(std::uint64_t digest);
+  void Publish(const decisions::quarantine_fact& fact);
+  void BeginQuarantine(std::uint64_t digest, std::string_view by);
+  boost::asio::awaitable<void> StoreQuarantine(std::uint64_t digest);
+  boost::asio::awaitable<bool> WriteKey(std::uint64_t digest);
 
   host_core& core_;
   store::kv_client& store_;
-  quarantine_links links_;
+  quarantine_callbacks callbacks_;
   // What this host has seen lately.
-  decisions::quarantine_facts told_;
+  decisions::quarantine_facts published_;
   // Requests that the store says are held back.
-  std::set<std::uint64_t> kept_;
+  std::set<std::uint64_t> stored_;
 };
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_QUARANTINE_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_QUARANTINE_COORDINATOR_H_
--- a/src/host/process/request_log.cc
+++ b/src/host/process/request_log.cc
@@ -22,7 +22,7 @@
     base::Log(kCategory, event, fields);
 }
 
-void request_log::TellLeftOut() {
+void request_log::LogOmittedLines() {
   const std::int64_t lines = base::TakeLeftOut(budget_);
   if (lines == 0)
     return;
--- a/src/host/process/request_log.h
+++ b/src/host/process/request_log.h
@@ -23,7 +23,7 @@
              std::initializer_list<base::log_field> fields);
 
   // Says how many lines were left out since the last call, if any were.
-  void TellLeftOut();
+  void LogOmittedLines();
 
  private:
   base::metrics& metrics_;
--- a/src/host/process/retry_budgets.cc
+++ b/src/host/process/retry_budgets.cc
@@ -33,47 +33,47 @@
   return found->second;
 }
 
-void retry_budgets::NoteRequest(const std::string& service,
-                                base::time_point now) {
-  service_budget& known = Find(service);
-  ++known.requests;
-  decisions::NoteRequest(known.budget, Policy(), now);
+void retry_budgets::RecordRequest(const std::string& service,
+                                  base::time_point now) {
+  service_budget& usage = Find(service);
+  ++usage.requests;
+  decisions::NoteRequest(usage.budget, Policy(), now);
 }
 
 bool retry_budgets::TryAcquire(const std::string& service,
                                base::time_point now) {
   if (!MayRetry(service, now))
     return false;
-  service_budget& known = Find(service);
-  ++known.granted;
+  service_budget& usage = Find(service);
+  ++usage.granted;
   metrics_.Counter(kCounter, "granted").Add();
-  return decisions::TryAcquireRetry(known.budget, Policy(), now);
+  return decisions::TryAcquireRetry(usage.budget, Policy(), now);
 }
 
 bool retry_budgets::MayRetry(const std::string& service, base::time_point now) {
-  service_budget& known = Find(service);
-  const bool may = decisions::MayRetry(known.budget, Policy(), now);
-  if (!may) {
-    ++known.refused;
+  service_budget& usage = Find(service);
+  const bool is_allowed = decisions::MayRetry(usage.budget, Policy(), now);
+  if (!is_allowed) {
+    ++usage.refused;
     metrics_.Counter(kCounter, "exhausted").Add();
   }
-  return may;
+  return is_allowed;
 }
 
-void retry_budgets::NoteFree(const std::string& service) {
+void retry_budgets::RecordFreeAttempt(const std::string& service) {
   ++Find(service).free;
   metrics_.Counter(kCounter, "free").Add();
 }
 
-void retry_budgets::LogUse(std::int64_t hosts, base::time_point now) {
+void retry_budgets::LogUsage(std::int64_t hosts, base::time_point now) {
   if (now - logged_ < kLogInterval)
     return;
   logged_ = now;
-  for (auto& [service, known] : services_) {
-    const std::int64_t requests = std::exchange(known.requests, 0);
-    const std::int64_t granted = std::exchange(known.granted, 0);
-    const std::int64_t refused = std::exchange(known.refused, 0);
-    const std::int64_t free = std::exchange(known.free, 0);
+  for (auto& [service, usage] : services_) {
+    const std::int64_t requests = std::exchange(usage.requests, 0);
+    const std::int64_t granted = std::exchange(usage.granted, 0);
+    const std::int64_t refused = std::exchange(usage.refused, 0);
+    const std::int64_t free = std::exchange(usage.free, 0);
     if (granted + refused + free == 0)
       continue;
     base::Log(kCategory, base::log_event::kRetryBudgetUsed,
--- a/src/host/process/retry_budgets.h
+++ b/src/host/process/retry_budgets.h
@@ -21,7 +21,7 @@
                 base::time_point started);
 
   // Counts a caller's request for a service.
-  void NoteRequest(const std::string& service, base::time_point now);
+  void RecordRequest(const std::string& service, base::time_point now);
 
   // Takes one retry from the budget of a service; false if it is exhausted.
   bool TryAcquire(const std::string& service, base::time_point now);
@@ -31,11 +31,11 @@
 
   // Counts an attempt after one that never reached a backend server: it needs
   // no budget.
-  void NoteFree(const std::string& service);
+  void RecordFreeAttempt(const std::string& service);
 
   // Logs the use of each budget since the last call that did; at most once a
   // second. Call several times a second.
-  void LogUse(std::int64_t hosts, base::time_point now);
+  void LogUsage(std::int64_t hosts, base::time_point now);
 
  private:
   struct service_budget {
--- a/src/host/process/server_limits.cc
+++ b/src/host/process/server_limits.cc
@@ -9,7 +9,7 @@
 #include <boost/asio/detached.hpp>
 
 #include "base/boot_clock.h"
-#include "host/process/limit_reading.h"
+#include "host/process/limit_updates.h"
 
 namespace valeledge::host {
 
@@ -25,22 +25,22 @@
 
 // A permit that came later is not used: what hosts have of permits when the
 // holder changes is bounded by it.
-constexpr milliseconds kPermitLife{300};
+constexpr milliseconds kMaxPermitAge{300};
 
 // Without a holder a limited server is looked at again after so long.
-constexpr milliseconds kNoHolderPause{250};
+constexpr milliseconds kNoHolderRetryAfter{250};
 
 // The holder repeats its news so often, for hosts that missed it.
-constexpr milliseconds kNewsInterval{1000};
+constexpr milliseconds kPublishInterval{1000};
 
 // A withdrawn limit stays in the news for so long.
-constexpr milliseconds kWithdrawnNews{3000};
+constexpr milliseconds kWithdrawnPublishPeriod{3000};
 
 // Servers in one datagram of news.
-constexpr std::size_t kServersInNews = 50;
+constexpr std::size_t kMaxServersPerUpdate = 50;
 
 // A limit that has refused a request binds for so long.
-constexpr milliseconds kBinding{5000};
+constexpr milliseconds kBindingPeriod{5000};
 
 enum class permit_verdict : std::int32_t {
   kGranted = 0,
@@ -66,80 +66,82 @@
   return out;
 }
 
-decisions::limit_report FromWire(const wire::server_limit& told,
+decisions::limit_report FromWire(const wire::server_limit& limit,
                                  base::time_point now) {
   decisions::limit_report report;
-  if (told.__isset.rate)
-    report.rate = told.rate;
-  report.received = now - milliseconds(told.age_ms);
+  if (limit.__isset.rate)
+    report.rate = limit.rate;
+  report.received = now - milliseconds(limit.age_ms);
   return report;
 }
 
-bool IsNews(const known_server& server, base::time_point now) {
+bool ShouldPublish(const known_server& server, base::time_point now) {
   const auto& withdrawn = server.advertised.withdrawn;
-  return server.IsLimited() || (withdrawn && now - *withdrawn < kWithdrawnNews);
+  return server.IsLimited() ||
+         (withdrawn && now - *withdrawn < kWithdrawnPublishPeriod);
 }
 
 }  // namespace
 
-server_limits::server_limits(host_core& core, server_limit_links links)
-    : core_(core), links_(std::move(links)) {
-  core_.take_permit = [this](std::shared_ptr<known_server> server,
-                             std::int64_t priority) {
+server_limits::server_limits(host_core& core, server_limit_callbacks callbacks)
+    : core_(core), callbacks_(std::move(callbacks)) {
+  core_.acquire_permit = [this](std::shared_ptr<known_server> server,
+                                std::int64_t priority) {
     return Acquire(std::move(server), priority);
   };
   core_.limit_changed = [this](const known_server& server) {
-    NoteChange(server);
+    OnLimitChanged(server);
   };
 }
 
-void server_limits::Count(std::string_view how) {
+void server_limits::CountPermit(std::string_view how) {
   core_.metrics.Counter("valeledge_server_permits_total", how).Add();
 }
 
-asio::awaitable<std::optional<wire::permit_reply>> server_limits::Ask(
-    wire::permit_request wanted) {
-  if (links_.term() != 0)
-    co_return Grant(wanted);
-  const auto holder = links_.holder();
-  if (!holder || std::chrono::steady_clock::now() < silent_until_)
+asio::awaitable<std::optional<wire::permit_reply>> server_limits::RequestPermit(
+    wire::permit_request request) {
+  if (callbacks_.term() != 0)
+    co_return Grant(request);
+  const auto holder = callbacks_.holder();
+  if (!holder || std::chrono::steady_clock::now() < holder_unresponsive_until_)
     co_return std::nullopt;
   wire::envelope call;
-  call.__set_permit_wanted(wanted);
+  call.__set_permit_wanted(request);
   const auto reply =
-      co_await links_.call(*holder, std::move(call), kHolderTimeout);
+      co_await callbacks_.call(*holder, std::move(call), kHolderTimeout);
   if (reply && reply->__isset.permit)
     co_return reply->permit;
-  silent_until_ = std::chrono::steady_clock::now() + kNoHolderPause;
+  holder_unresponsive_until_ =
+      std::chrono::steady_clock::now() + kNoHolderRetryAfter;
   co_return std::nullopt;
 }
 
 asio::awaitable<bool> server_limits::Acquire(
     std::shared_ptr<known_server> server,
     std::int64_t priority) {
-  wire::permit_request wanted;
-  wanted.limit = ReportOf(*server, std::chrono::steady_clock::now());
-  wanted.priority = priority;
-  const auto asked = base::boot_clock::now();
+  wire::permit_request request;
+  request.limit = ReportOf(*server, std::chrono::steady_clock::now());
+  request.priority = priority;
+  const auto requested_at = base::boot_clock::now();
   server->permit_pending = true;
-  const auto reply = co_await Ask(std::move(wanted));
+  const auto reply = co_await RequestPermit(std::move(request));
   server->permit_pending = false;
   const auto now = std::chrono::steady_clock::now();
   const auto verdict = reply ? static_cast<permit_verdict>(reply->verdict)
                              : permit_verdict::kNotHolder;
   if (verdict == permit_verdict::kNotHolder) {
-    Count("no_holder");
-    server->closed_until = now + kNoHolderPause;
+    CountPermit("no_holder");
+    server->closed_until = now + kNoHolderRetryAfter;
     co_return false;
   }
-  MergeLimit(core_, *server, FromWire(reply->limit, now));
+  MergeReportedLimit(core_, *server, FromWire(reply->limit, now));
   if (verdict == permit_verdict::kRefused) {
-    Count("refused");
+    CountPermit("refused");
     server->closed_until = now + microseconds(reply->retry_after_us);
     co_return false;
   }
-  const bool is_late = base::boot_clock::now() - asked > kPermitLife;
-  Count(is_late ? "late" : "granted");
+  const bool is_late = base::boot_clock::now() - requested_at > kMaxPermitAge;
+  CountPermit(is_late ? "late" : "granted");
   co_return !is_late;
 }
 
@@ -153,66 +155,66 @@
   return found->second;
 }
 
-wire::permit_reply server_limits::Grant(const wire::permit_request& wanted) {
-  const std::int64_t term = links_.term();
+wire::permit_reply server_limits::Grant(const wire::permit_request& request) {
+  const std::int64_t term = callbacks_.term();
   if (term == 0)
     return Reply(permit_verdict::kNotHolder);
   // Another host may have granted permits between two terms.
   if (std::exchange(term_, term) != term)
     limiters_.clear();
   const auto now = std::chrono::steady_clock::now();
-  const auto server = core_.servers.Find(wanted.limit.server);
+  const auto server = core_.servers.Find(request.limit.server);
   wire::permit_reply reply = Reply(permit_verdict::kRefused);
-  reply.limit = wanted.limit;
+  reply.limit = request.limit;
   if (server == nullptr) {
-    reply.retry_after_us = microseconds(kNoHolderPause).count();
+    reply.retry_after_us = microseconds(kNoHolderRetryAfter).count();
     return reply;
   }
-  TakeChange(wanted.limit);
+  HandleLimitChange(request.limit);
   reply.limit = ReportOf(*server, now);
   if (!server->IsLimited()) {
     reply.verdict = static_cast<std::int32_t>(permit_verdict::kGranted);
     return reply;
   }
   const auto verdict = decisions::TryAcquirePermit(LimiterOf(*server, now),
-                                                   wanted.priority, now);
+                                                   request.priority, now);
   if (verdict.granted) {
     reply.verdict = static_cast<std::int32_t>(permit_verdict::kGranted);
     return reply;
   }
-  server->limit_binds_until = now + kBinding;
+  server->limit_binds_until = now + kBindingPeriod;
   reply.retry_after_us = microseconds(verdict.retry_after).count();
   return reply;
 }
 
-void server_limits::TakeChange(const wire::server_limit& changed) {
+void server_limits::HandleLimitChange(const wire::server_limit& changed) {
   const auto server = core_.servers.Find(changed.server);
   if (server == nullptr)
     return;
   const auto before = server->advertised.limit;
-  MergeLimit(core_, *server,
-             FromWire(changed, std::chrono::steady_clock::now()));
+  MergeReportedLimit(core_, *server,
+                     FromWire(changed, std::chrono::steady_clock::now()));
   const auto& after = server->advertised.limit;
   changed_ = changed_ || before.has_value() != after.has_value() ||
              (after && before->rate != after->rate);
 }
 
-void server_limits::TakeNews(wire::limit_news news) {
+void server_limits::HandleUpdate(wire::limit_news update) {
   const auto now = std::chrono::steady_clock::now();
-  for (const wire::server_limit& each : news.limits) {
+  for (const wire::server_limit& each : update.limits) {
     const auto server = core_.servers.Find(each.server);
     if (server != nullptr)
-      MergeLimit(core_, *server, FromWire(each, now));
+      MergeReportedLimit(core_, *server, FromWire(each, now));
   }
-  if (!news.__isset.hand_on)
+  if (!update.__isset.hand_on)
     return;
-  news.__isset.hand_on = false;
-  links_.broadcast_in_zone(news);
+  update.__isset.hand_on = false;
+  callbacks_.broadcast_in_zone(update);
 }
 
-void server_limits::NoteChange(const known_server& server) {
+void server_limits::OnLimitChanged(const known_server& server) {
   changed_ = true;
-  if (links_.term() != 0)
+  if (callbacks_.term() != 0)
     return;
   asio::co_spawn(core_.context,
                  SendChange(ReportOf(server, std::chrono::steady_clock::now())),
@@ -220,17 +222,17 @@
 }
 
 asio::awaitable<void> server_limits::SendChange(wire::server_limit changed) {
-  const auto holder = links_.holder();
+  const auto holder = callbacks_.holder();
   if (!holder)
     co_return;
   wire::envelope call;
   call.__set_limit_changed(changed);
   // A lost report is made up for by the next request for a permit.
-  co_await links_.call(*holder, std::move(call), kHolderTimeout);
+  co_await callbacks_.call(*holder, std::move(call), kHolderTimeout);
 }
 
-void server_limits::Roll(base::time_point now) {
-  const std::int64_t term = links_.term();
+void server_limits::Tick(base::time_point now) {
+  const std::int64_t term = callbacks_.term();
   if (std::exchange(term_, term) != term)
     limiters_.clear();
   if (term == 0)
@@ -239,23 +241,23 @@
     const auto server = core_.servers.Find(each.first);
     return server == nullptr || !server->IsLimited();
   });
-  if (changed_ || now - published_ >= kNewsInterval)
+  if (changed_ || now - published_ >= kPublishInterval)
     Publish(now);
 }
 
 void server_limits::Publish(base::time_point now) {
   published_ = now;
   changed_ = false;
-  wire::limit_news news;
+  wire::limit_news update;
   const auto send = [&] {
-    if (!news.limits.empty())
-      links_.broadcast(std::exchange(news, {}));
+    if (!update.limits.empty())
+      callbacks_.broadcast(std::exchange(update, {}));
   };
   for (const auto& [instance, server] : core_.servers.servers()) {
-    if (!IsNews(*server, now))
+    if (!ShouldPublish(*server, now))
       continue;
-    news.limits.push_back(ReportOf(*server, now));
-    if (news.limits.size() >= kServersInNews)
+    update.limits.push_back(ReportOf(*server, now));
+    if (update.limits.size() >= kMaxServersPerUpdate)
       send();
   }
   send();
--- a/src/host/process/reload_duty.cc
+++ b/src/host/process/settings_reloader.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/reload_duty.h"
+#include "host/process/settings_reloader.h"
 
 #include <csignal>
 #include <utility>
@@ -21,7 +21,7 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "host";
 
-void MaskReloadSignal(int how) {
+void SetReloadSignalMask(int how) {
   sigset_t reload;
   sigemptyset(&reload);
   sigaddset(&reload, SIGHUP);
@@ -30,25 +30,25 @@
 
 }  // namespace
 
-void HoldReloadSignal() {
-  MaskReloadSignal(SIG_BLOCK);
+void BlockReloadSignal() {
+  SetReloadSignalMask(SIG_BLOCK);
 }
 
-reload_duty::reload_duty(host_core& core,
-                         settings_reader read,
-                         std::function<void()> changed)
+settings_reloader::settings_reloader(host_core& core,
+                                     settings_reader read,
+                                     std::function<void()> on_reloaded)
     : core_(core),
       read_(std::move(read)),
-      changed_(std::move(changed)),
+      on_reloaded_(std::move(on_reloaded)),
       signals_(core.context, SIGHUP) {}
 
-void reload_duty::Start() {
+void settings_reloader::Start() {
   asio::co_spawn(core_.context, Loop(), asio::detached);
   // One that was held back comes now.
-  MaskReloadSignal(SIG_UNBLOCK);
+  SetReloadSignalMask(SIG_UNBLOCK);
 }
 
-asio::awaitable<void> reload_duty::Loop() {
+asio::awaitable<void> settings_reloader::Loop() {
   while (true) {
     const auto [failed, signal] = co_await signals_.async_wait(kAwait);
     if (failed)
@@ -57,7 +57,7 @@
   }
 }
 
-void reload_duty::Reload() {
+void settings_reloader::Reload() {
   auto newer = read_();
   if (!newer) {
     base::Log(kCategory, log_event::kSettingsKept,
@@ -74,7 +74,7 @@
   newer->store = core_.settings.store;
   newer->metrics_listen = core_.settings.metrics_listen;
   core_.settings = std::move(*newer);
-  changed_();
+  on_reloaded_();
   base::Log(kCategory, log_event::kSettingsReread,
             {{"seeds", static_cast<std::int64_t>(core_.settings.seeds.size())},
              {"retry_slack", core_.settings.retry_slack}});
--- a/src/host/process/reload_duty.h
+++ b/src/host/process/settings_reloader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Reading the settings again when SIGHUP says that they have changed.
-#ifndef VALELEDGE_HOST_PROCESS_RELOAD_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_RELOAD_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_SETTINGS_RELOADER_H_
+#define VALELEDGE_HOST_PROCESS_SETTINGS_RELOADER_H_
 
 #include <functional>
 
@@ -15,17 +15,17 @@
 // Reads the settings again.
 using settings_reader = std::function<base::result<host_settings>()>;
 
-// Holds SIGHUP back, which would end the process, until a reload_duty waits for
-// it. To be called before the settings are read for the first time, and before
-// other threads start.
-void HoldReloadSignal();
+// Holds SIGHUP back, which would end the process, until a settings_reloader
+// waits for it. To be called before the settings are read for the first time,
+// and before other threads start.
+void BlockReloadSignal();
 
-class reload_duty {
+class settings_reloader {
  public:
   // `changed` runs after newer settings are in force.
-  reload_duty(host_core& core,
-              settings_reader read,
-              std::function<void()> changed);
+  settings_reloader(host_core& core,
+                    settings_reader read,
+                    std::function<void()> on_reloaded);
 
   void Start();
 
@@ -35,10 +35,10 @@
 
   host_core& core_;
   settings_reader read_;
-  std::function<void()> changed_;
+  std::function<void()> on_reloaded_;
   boost::asio::signal_set signals_;
 };
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_RELOAD_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_SETTINGS_RELOADER_H_
--- a/src/host/process/stop_duty.cc
+++ b/src/host/process/shutdown_controller.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/stop_duty.h"
+#include "host/process/shutdown_controller.h"
 
 #include <chrono>
 #include <csignal>
@@ -28,55 +28,55 @@
 // connections; callers then still use the ones they have.
 // What comes later than 3 s must not be broken off, so what may last too long
 // is refused a little sooner.
-constexpr milliseconds kTakesAll{2700};
-constexpr milliseconds kTakesRequests{4200};
+constexpr milliseconds kAcceptAllPeriod{2700};
+constexpr milliseconds kAcceptPeriod{4200};
 // What is still under way so long before SIGKILL is broken off.
-constexpr milliseconds kStopMargin{400};
+constexpr milliseconds kKillMargin{400};
 
-constexpr milliseconds kStopLook{50};
+constexpr milliseconds kStopCheckInterval{50};
 
 }  // namespace
 
-stop_duty::stop_duty(host_core& core,
-                     net::http_server& callers,
-                     std::function<void()> begun)
+shutdown_controller::shutdown_controller(host_core& core,
+                                         net::http_server& callers,
+                                         std::function<void()> on_started)
     : core_(core),
       callers_(callers),
-      begun_(std::move(begun)),
+      on_started_(std::move(on_started)),
       signals_(core.context, SIGTERM, SIGINT) {}
 
-void stop_duty::Start() {
+void shutdown_controller::Start() {
   asio::co_spawn(core_.context, AwaitSignal(), asio::detached);
 }
 
-asio::awaitable<void> stop_duty::AwaitSignal() {
+asio::awaitable<void> shutdown_controller::AwaitSignal() {
   const auto [failed, signal] = co_await signals_.async_wait(kAwait);
   if (failed)
     co_return;
   co_await Stop();
 }
 
-asio::awaitable<void> stop_duty::Stop() {
-  const auto begun = std::chrono::steady_clock::now();
+asio::awaitable<void> shutdown_controller::Stop() {
+  const auto start = std::chrono::steady_clock::now();
   base::Log(kCategory, log_event::kStopRequested,
             {{"active", callers_.active_requests()}});
   stopping_ = true;
-  begun_();
+  on_started_();
   callers_.CloseAfterAnswers();
   asio::steady_timer timer(core_.context);
   bool drained = false;
   while (true) {
-    const auto passed = std::chrono::steady_clock::now() - begun;
-    if (passed >= kTakesAll)
-      core_.stops_at = begun + core_.settings.stop_grace - kStopMargin;
-    if (passed >= kTakesRequests && !drained) {
+    const auto elapsed = std::chrono::steady_clock::now() - start;
+    if (elapsed >= kAcceptAllPeriod)
+      core_.stops_at = start + core_.settings.stop_grace - kKillMargin;
+    if (elapsed >= kAcceptPeriod && !drained) {
       drained = true;
       callers_.Drain();
     }
     const bool idle = drained && callers_.active_requests() == 0;
-    if (idle || passed >= core_.settings.stop_grace - kStopMargin)
+    if (idle || elapsed >= core_.settings.stop_grace - kKillMargin)
       break;
-    timer.expires_after(kStopLook);
+    timer.expires_after(kStopCheckInterval);
     co_await timer.async_wait(kAwait);
   }
   const std::int64_t active = callers_.active_requests();
--- a/src/host/process/stop_duty.h
+++ b/src/host/process/shutdown_controller.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // The graceful stop of a host: others are told, what is under way ends, and new
 // requests are answered while callers still come.
-#ifndef VALELEDGE_HOST_PROCESS_STOP_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_STOP_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
+#define VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
 
 #include <functional>
 
@@ -14,12 +14,12 @@
 
 namespace valeledge::host {
 
-class stop_duty {
+class shutdown_controller {
  public:
   // `begun` runs once, when the stop has begun. The event loop ends with it.
-  stop_duty(host_core& core,
-            net::http_server& callers,
-            std::function<void()> begun);
+  shutdown_controller(host_core& core,
+                      net::http_server& callers,
+                      std::function<void()> on_started);
 
   // Waits for SIGTERM or SIGINT from now on.
   void Start();
@@ -32,11 +32,11 @@
 
   host_core& core_;
   net::http_server& callers_;
-  std::function<void()> begun_;
+  std::function<void()> on_started_;
   boost::asio::signal_set signals_;
   bool stopping_ = false;
 };
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_STOP_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
--- a/src/host/process/copy_duty.h
+++ b/src/host/process/snapshot_service.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Fetches newer copies of the store from peers for hosts that do not follow it
 // themselves, and gives them to others.
-#ifndef VALELEDGE_HOST_PROCESS_COPY_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_COPY_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_SNAPSHOT_SERVICE_H_
+#define VALELEDGE_HOST_PROCESS_SNAPSHOT_SERVICE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -18,44 +18,44 @@
 
 namespace valeledge::host {
 
-class copy_duty {
+class snapshot_service {
  public:
-  copy_duty(host_core& core, store_mirror& mirror, peer_link& peers);
+  snapshot_service(host_core& core, store_mirror& mirror, peer_link& peers);
 
   // A peer, of this host's availability zone or not, has a newer copy.
-  void HearNewer(const base::endpoint& peer, bool same_zone);
+  void OnNewerSnapshot(const base::endpoint& peer, bool same_zone);
   // This host has something newer than before, from a peer or the store.
-  void NoteAdvanced() { decisions::NoteCopy(fetches_); }
+  void OnRevisionAdvanced() { decisions::NoteCopy(fetches_); }
   // How long a newer copy has been known of that has not come.
-  std::chrono::milliseconds BehindFor() const;
+  std::chrono::milliseconds StaleFor() const;
   // The reply to a peer that asks for this host's copy; tells it to ask another
   // if too much waits to be sent already.
-  wire::envelope Give(const wire::mirror_request& wanted);
+  wire::envelope HandleRequest(const wire::mirror_request& request);
 
  private:
   boost::asio::awaitable<void> Fetch(base::endpoint peer);
   // How a fetch ends.
-  enum class fetch_end {
-    kTaken,
+  enum class fetch_result {
+    kApplied,
     // The peer has too much to send.
     kBusy,
     // Another peer's copy came first.
-    kNotNeeded,
+    kUnneeded,
     // The peer's copy cannot be read.
-    kBroken,
-    kGivenUp,
+    kInvalid,
+    kAbandoned,
   };
-  static std::string NameOf(fetch_end end);
+  static std::string MetricLabel(fetch_result result);
   // Takes in the reply to a call for what had changed since a revision.
-  fetch_end TakeReply(std::int64_t since,
-                      const base::result<wire::envelope>& reply);
+  fetch_result ApplyReply(std::int64_t since,
+                          const base::result<wire::envelope>& reply);
   // Ends what other peers were asked for, since one has given its copy.
-  void DropOthers(const base::endpoint& giver);
+  void CancelOtherFetches(const base::endpoint& source);
   // Logs and counts how the fetch from a peer has ended.
-  void LogEnd(const base::endpoint& peer,
-              std::int64_t since,
-              fetch_end end,
-              const base::result<wire::envelope>& reply);
+  void LogResult(const base::endpoint& peer,
+                 std::int64_t since,
+                 fetch_result result,
+                 const base::result<wire::envelope>& reply);
 
   host_core& core_;
   store_mirror& mirror_;
@@ -65,4 +65,4 @@
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_COPY_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_SNAPSHOT_SERVICE_H_
--- a/src/host/process/store_mirror.cc
+++ b/src/host/process/store_mirror.cc
@@ -29,101 +29,107 @@
 
 // Without an answer of the store to anybody for so long, a host reads for
 // itself: changes must be in force everywhere within two seconds.
-constexpr std::chrono::milliseconds kTakeOver{1100};
+constexpr std::chrono::milliseconds kTakeoverTimeout{1100};
 
 // From an answer until the hosts of its availability zone have heard of it: the
 // next report of the host that follows the store, and its way.
-constexpr std::chrono::milliseconds kHeardWithin =
+constexpr std::chrono::milliseconds kMaxReportDelay =
     kLoadInterval + std::chrono::milliseconds(200);
 
 // One watch waits so long where nothing changes: that the store has answered is
 // what the others go by.
-constexpr std::chrono::milliseconds kWatchLength = kTakeOver - kHeardWithin;
+constexpr std::chrono::milliseconds kMaxWatchTime =
+    kTakeoverTimeout - kMaxReportDelay;
 
 // So much later at the most, so that not all hosts read at once.
-constexpr std::chrono::milliseconds kTakeOverSpread{250};
+constexpr std::chrono::milliseconds kTakeoverJitter{250};
 
 // A host that stands in for others and is refused asks again after so long.
-constexpr std::chrono::milliseconds kStandInPause{1500};
+constexpr std::chrono::milliseconds kFallbackReaderPause{1500};
 
 // A host that does not follow the store looks for a reason to after so long.
-constexpr std::chrono::milliseconds kLookPause{100};
+constexpr std::chrono::milliseconds kFollowCheckInterval{100};
 
 // A host that has just started looks for a copy after so long.
-constexpr std::chrono::milliseconds kFirstLook{20};
+constexpr std::chrono::milliseconds kInitialCheckInterval{20};
 
 // A watch answers at once when something has changed, but for the time in
 // which changes are gathered.
-constexpr std::chrono::milliseconds kAnswerDue{400};
+constexpr std::chrono::milliseconds kResponseDue{400};
 
 // Deletions that are kept for other hosts.
-constexpr std::size_t kDeletionsKept = 500;
+constexpr std::size_t kMaxDeletions = 500;
 
 // After changes the next watch begins so much later, so that changes which
 // come together cost one call: each call has a price.
-constexpr std::chrono::milliseconds kGather{200};
+constexpr std::chrono::milliseconds kBatchWindow{200};
 
 // Pauses after failed calls; the store's calls are counted and limited.
-constexpr std::chrono::milliseconds kFirstPause{50};
-constexpr std::chrono::milliseconds kLongestPause{600};
+constexpr std::chrono::milliseconds kMinRetryPause{50};
+constexpr std::chrono::milliseconds kMaxRetryPause{600};
 
 // Entries that are found gone within this time of a failed call may belong to
 // servers that live: they have two seconds to come back.
-constexpr std::chrono::milliseconds kTroubleMemory{2500};
+constexpr std::chrono::milliseconds kOutagePeriod{2500};
 
 // Room for the largest value of the store, 1 MB, and for growth.
-constexpr std::size_t kMostUnpacked = wire::kMaxFrameBytes;
+constexpr std::size_t kMaxValueBytes = wire::kMaxFrameBytes;
 
 // A copy of fewer bytes is not packed as one: it fits into a segment.
-constexpr std::size_t kPackCopyFrom = 1400;
+constexpr std::size_t kMinCompressedBytes = 1400;
 
 // Room for all keys of the largest fleet planned for, some 8,000 servers of
 // 400 bytes each, and for large values.
-constexpr std::size_t kMostUnpackedCopy = 16 * 1024 * 1024;
+constexpr std::size_t kMaxSnapshotBytes = 16 * 1024 * 1024;
 
 // The same copy, packed as one if that makes it smaller.
-wire::mirror_copy PackCopy(wire::mirror_copy copy) {
-  const auto packed = wire::Pack(wire::Encode(copy), kPackCopyFrom);
-  if (!packed)
-    return copy;
+wire::mirror_copy CompressSnapshot(wire::mirror_copy snapshot) {
+  const auto compressed =
+      wire::Pack(wire::Encode(snapshot), kMinCompressedBytes);
+  if (!compressed)
+    return snapshot;
   wire::mirror_copy out;
-  out.revision = copy.revision;
-  out.whole = copy.whole;
-  out.__set_packed(*packed);
+  out.revision = snapshot.revision;
+  out.whole = snapshot.whole;
+  out.__set_packed(*compressed);
   return out;
 }
 
 // What another host gave; nothing if it cannot be read.
-std::optional<wire::mirror_copy> UnpackCopy(const wire::mirror_copy& copy) {
-  if (!copy.__isset.packed)
-    return copy;
-  const auto bytes = wire::Unpack(copy.packed, kMostUnpackedCopy);
+std::optional<wire::mirror_copy> DecompressSnapshot(
+    const wire::mirror_copy& snapshot) {
+  if (!snapshot.__isset.packed)
+    return snapshot;
+  const auto bytes = wire::Unpack(snapshot.packed, kMaxSnapshotBytes);
   return bytes ? wire::DecodeMirrorCopy(*bytes) : std::nullopt;
 }
 
 // A value as it came from another host; nothing if it cannot be read.
-std::optional<mirrored_value> ValueOf(const wire::mirror_entry& entry) {
+std::optional<mirrored_value> DecodeValue(const wire::mirror_entry& entry) {
   mirrored_value value;
   value.revision = entry.revision;
   if (!entry.packed) {
     value.value = entry.value;
     return value;
   }
-  auto unpacked = wire::Unpack(entry.value, kMostUnpacked);
-  if (!unpacked)
+  auto decompressed = wire::Unpack(entry.value, kMaxValueBytes);
+  if (!decompressed)
     return std::nullopt;
-  value.value = std::move(*unpacked);
-  value.packed = entry.value;
-  value.packing_tried = true;
+  value.value = std::move(*decompressed);
+  value.compressed = entry.value;
+  value.compression_tried = true;
   return value;
 }
 
-void PutValue(mirrored_value& value, bool packed, wire::mirror_entry& entry) {
-  if (packed && !std::exchange(value.packing_tried, true))
-    value.packed = wire::Pack(value.value);
-  if (packed && value.packed)
+void EncodeValue(mirrored_value& value,
+                 bool compressed,
+                 wire::mirror_entry& entry) {
+  if (compressed && !std::exchange(value.compression_tried, true))
+    value.compressed = wire::Pack(value.value);
+  if (compressed && value.compressed)
     entry.__set_packed(true);
-  entry.value = packed && value.packed ? *value.packed : value.value;
+  entry.value =
+      compressed && value.compressed ? *value.compressed : value.value;
 }
 
 }  // namespace
@@ -137,8 +143,8 @@
       prefix_(std::move(prefix)),
       events_(std::move(events)) {
   std::random_device seed;
-  std::uniform_int_distribution<std::int64_t> any;
-  answers_.own.origin = any(seed);
+  std::uniform_int_distribution<std::int64_t> distribution;
+  responses_.own.origin = distribution(seed);
 }
 
 void store_mirror::Start() {
@@ -149,21 +155,21 @@
   return failed_once_ && std::chrono::steady_clock::now() - failed_at_ < span;
 }
 
-void store_mirror::NoteAnswered(bool answered) {
-  current_ = answered;
-  if (answered) {
-    answered_at_ = std::chrono::steady_clock::now();
-    decisions::NoteOwnAnswer(answers_, events_.follows(), *answered_at_);
+void store_mirror::RecordCallResult(bool succeeded) {
+  current_ = succeeded;
+  if (succeeded) {
+    last_response_at_ = std::chrono::steady_clock::now();
+    decisions::NoteOwnAnswer(responses_, events_.follows(), *last_response_at_);
   }
-  if (!answered) {
+  if (!succeeded) {
     failed_at_ = std::chrono::steady_clock::now();
     failed_once_ = true;
   }
-  if (answered == !was_down_)
+  if (succeeded == !was_down_)
     return;
-  was_down_ = !answered;
+  was_down_ = !succeeded;
   base::Log(kCategory,
-            answered ? log_event::kPlatformUp : log_event::kPlatformDown);
+            succeeded ? log_event::kPlatformUp : log_event::kPlatformDown);
 }
 
 void store_mirror::Advance(std::int64_t revision) {
@@ -175,11 +181,12 @@
 
 void store_mirror::Put(const std::string& key,
                        mirrored_value value,
-                       std::int64_t told_at) {
+                       std::int64_t response_revision) {
   // A large answer may take a second on its way, and peers tell more meanwhile:
   // of what was known then, all that still holds is known here already. Without
   // this a server that had gone came back for 12 s at 12 of 63 hosts.
-  const bool late = told_at < revision_ && value.revision <= revision_;
+  const bool late =
+      response_revision < revision_ && value.revision <= revision_;
   if (late && !values_.contains(key))
     return;
   mirrored_value& known = values_[key];
@@ -197,10 +204,10 @@
     return;
   values_.erase(known);
   deletions_[key] = {revision, lapsed};
-  if (deletions_.size() > kDeletionsKept) {
+  if (deletions_.size() > kMaxDeletions) {
     const auto oldest = std::ranges::min_element(
         deletions_, {}, [](const auto& each) { return each.second.revision; });
-    forgotten_ = std::max(forgotten_, oldest->second.revision);
+    discarded_up_to_ = std::max(discarded_up_to_, oldest->second.revision);
     deletions_.erase(oldest);
   }
   events_.removed(key, lapsed);
@@ -215,7 +222,7 @@
   }
   // What is seen to go while the store answers is gone; what went unseen may
   // have lapsed with the store.
-  const bool lapsed = FailedWithin(kTroubleMemory);
+  const bool lapsed = FailedWithin(kOutagePeriod);
   for (const std::string& key : missing)
     Remove(key, revision, lapsed);
   for (auto& [key, value] : values)
@@ -224,60 +231,61 @@
 }
 
 std::optional<std::chrono::milliseconds> store_mirror::Age() const {
-  const auto newest = decisions::NewestAnswer(answers_);
+  const auto newest = decisions::NewestAnswer(responses_);
   if (!newest)
     return std::nullopt;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::steady_clock::now() - *newest);
 }
 
-void store_mirror::HearAnswer(const decisions::told_answer& told) {
-  decisions::HearAnswer(answers_, told, std::chrono::steady_clock::now());
+void store_mirror::RecordReportedResponse(
+    const decisions::told_answer& report) {
+  decisions::HearAnswer(responses_, report, std::chrono::steady_clock::now());
 }
 
-std::optional<decisions::told_answer> store_mirror::NewestAnswer() {
+std::optional<decisions::told_answer> store_mirror::NewestResponse() {
   // A large answer takes longer on a narrow link than others wait before they
   // read for themselves, all of them at once: 58 of 63 hosts did.
-  const auto heard = store_.HeardAt();
-  if (heard && (!answers_.own_at || *heard > *answers_.own_at))
-    decisions::NoteOwnAnswer(answers_, events_.follows(), *heard);
-  return decisions::TellNewest(answers_, std::chrono::steady_clock::now());
+  const auto received_at = store_.HeardAt();
+  if (received_at && (!responses_.own_at || *received_at > *responses_.own_at))
+    decisions::NoteOwnAnswer(responses_, events_.follows(), *received_at);
+  return decisions::TellNewest(responses_, std::chrono::steady_clock::now());
 }
 
 bool store_mirror::OthersFollow() const {
   return revision_ > 0 &&
-         decisions::OthersAnsweredWithin(answers_, kTakeOver,
+         decisions::OthersAnsweredWithin(responses_, kTakeoverTimeout,
                                          std::chrono::steady_clock::now());
 }
 
 // Whether this host may end standing in for the hosts that are chosen.
 bool store_mirror::MayStopFollowing() const {
   return !events_.follows() &&
-         decisions::MayLeaveToOthers(answers_, kTakeOver,
+         decisions::MayLeaveToOthers(responses_, kTakeoverTimeout,
                                      std::chrono::steady_clock::now());
 }
 
-bool store_mirror::WantsCopy() const {
+bool store_mirror::NeedsSnapshot() const {
   const bool due =
-      answered_at_ &&
-      std::chrono::steady_clock::now() - *answered_at_ < kAnswerDue;
+      last_response_at_ &&
+      std::chrono::steady_clock::now() - *last_response_at_ < kResponseDue;
   return !current_ || !due;
 }
 
 asio::awaitable<bool> store_mirror::ReadAll() {
   store::kv_transaction read;
   read.on_success.push_back(store::GetPrefix(prefix_));
-  const auto asked = base::boot_clock::now();
-  const auto answer = co_await store_.Run(std::move(read));
-  NoteAnswered(answer.has_value());
-  if (!answer)
+  const auto requested_at = base::boot_clock::now();
+  const auto response = co_await store_.Run(std::move(read));
+  RecordCallResult(response.has_value());
+  if (!response)
     co_return false;
   std::map<std::string, mirrored_value> values;
-  for (const store::kv_pair& pair : answer->results.front().pairs)
+  for (const store::kv_pair& pair : response->results.front().pairs)
     values[pair.key] = {pair.value, pair.mod_revision, {}};
-  Replace(std::move(values), answer->revision);
+  Replace(std::move(values), response->revision);
   history_gone_ = false;
-  events_.complete(asked);
+  events_.complete(requested_at);
   co_return true;
 }
 
@@ -286,10 +294,10 @@
   asio::steady_timer timer(context_);
   while (true) {
     const auto changes =
-        co_await store_.AwaitChange(prefix_, at + 1, kWatchLength);
+        co_await store_.AwaitChange(prefix_, at + 1, kMaxWatchTime);
     const bool gone =
         !changes && changes.error().code == base::result_code::kHistoryGone;
-    NoteAnswered(changes.has_value() || gone);
+    RecordCallResult(changes.has_value() || gone);
     history_gone_ = gone;
     if (!changes)
       co_return gone;
@@ -306,26 +314,27 @@
       co_return true;
     if (changes->events.empty())
       continue;
-    timer.expires_after(kGather);
+    timer.expires_after(kBatchWindow);
     co_await timer.async_wait(kAwait);
   }
 }
 
 // Hosts that start together would all read the whole store.
-asio::awaitable<void> store_mirror::AwaitFirstCopy(std::mt19937_64& random) {
-  const auto begun = std::chrono::steady_clock::now();
-  decisions::first_reading view;
-  view.draw = std::uniform_real_distribution<double>(0, 1)(random);
+asio::awaitable<void> store_mirror::AwaitInitialSnapshot(
+    std::mt19937_64& random) {
+  const auto start = std::chrono::steady_clock::now();
+  decisions::first_reading state;
+  state.draw = std::uniform_real_distribution<double>(0, 1)(random);
   asio::steady_timer timer(context_);
   while (true) {
-    view.since_start = std::chrono::duration_cast<std::chrono::milliseconds>(
-        std::chrono::steady_clock::now() - begun);
-    view.knows_others = events_.knows_others && events_.knows_others();
-    view.chosen = events_.follows();
-    const bool copied = OthersFollow();
-    if (copied || decisions::ShouldReadFirst(view))
+    state.since_start = std::chrono::duration_cast<std::chrono::milliseconds>(
+        std::chrono::steady_clock::now() - start);
+    state.knows_others = events_.knows_others && events_.knows_others();
+    state.chosen = events_.follows();
+    const bool has_snapshot = OthersFollow();
+    if (has_snapshot || decisions::ShouldReadFirst(state))
       co_return;
-    timer.expires_after(kFirstLook);
+    timer.expires_after(kInitialCheckInterval);
     co_await timer.async_wait(kAwait);
   }
 }
@@ -334,41 +343,43 @@
 // here: what went meanwhile may have lapsed, which only a whole reading shows.
 asio::awaitable<void> store_mirror::Loop() {
   std::mt19937_64 random{std::random_device{}()};
-  co_await AwaitFirstCopy(random);
+  co_await AwaitInitialSnapshot(random);
   const auto between = [&](std::chrono::milliseconds from,
                            std::chrono::milliseconds to) {
-    std::uniform_int_distribution<std::int64_t> any(from.count(), to.count());
-    return std::chrono::milliseconds(any(random));
+    std::uniform_int_distribution<std::int64_t> distribution(from.count(),
+                                                             to.count());
+    return std::chrono::milliseconds(distribution(random));
   };
   asio::steady_timer timer(context_);
-  std::chrono::milliseconds pause = kFirstPause;
+  std::chrono::milliseconds pause = kMinRetryPause;
   while (true) {
     if (!events_.follows() && OthersFollow()) {
       current_ = false;
-      timer.expires_after(kLookPause);
+      timer.expires_after(kFollowCheckInterval);
       co_await timer.async_wait(kAwait);
       if (OthersFollow() || events_.follows())
         continue;
-      timer.expires_after(between({}, kTakeOverSpread));
+      timer.expires_after(between({}, kTakeoverJitter));
       co_await timer.async_wait(kAwait);
       continue;
     }
     if (!events_.follows() && revision_ > 0)
       base::Log(kCategory, log_event::kStandingIn);
     const bool known =
-        revision_ > 0 && !history_gone_ && !FailedWithin(kTroubleMemory);
+        revision_ > 0 && !history_gone_ && !FailedWithin(kOutagePeriod);
     const bool read = known || co_await ReadAll();
     if (read) {
-      pause = kFirstPause;
+      pause = kMinRetryPause;
       const bool again = co_await Follow();
       if (again)
         continue;
     }
-    timer.expires_after(events_.follows() || revision_ == 0
-                            ? between(pause / 2, pause)
-                            : between(kStandInPause / 2, kStandInPause));
+    timer.expires_after(
+        events_.follows() || revision_ == 0
+            ? between(pause / 2, pause)
+            : between(kFallbackReaderPause / 2, kFallbackReaderPause));
     co_await timer.async_wait(kAwait);
-    pause = std::min(pause * 2, kLongestPause);
+    pause = std::min(pause * 2, kMaxRetryPause);
   }
 }
 
@@ -379,26 +390,29 @@
   return found->second.value;
 }
 
-wire::mirror_copy store_mirror::CopyFor(const wire::mirror_request& wanted) {
-  auto copy = CopySince(wanted.since, wanted.takes_packed);
-  return wanted.takes_packed_copy ? PackCopy(std::move(copy)) : copy;
+wire::mirror_copy store_mirror::SnapshotFor(
+    const wire::mirror_request& request) {
+  auto snapshot = SnapshotSince(request.since, request.takes_packed);
+  return request.takes_packed_copy ? CompressSnapshot(std::move(snapshot))
+                                   : snapshot;
 }
 
-wire::mirror_copy store_mirror::CopySince(std::int64_t revision, bool packed) {
-  wire::mirror_copy copy;
-  copy.revision = revision_;
-  copy.whole = revision == 0 || revision < forgotten_;
+wire::mirror_copy store_mirror::SnapshotSince(std::int64_t revision,
+                                              bool compressed) {
+  wire::mirror_copy snapshot;
+  snapshot.revision = revision_;
+  snapshot.whole = revision == 0 || revision < discarded_up_to_;
   for (auto& [key, value] : values_) {
-    if (!copy.whole && value.revision <= revision)
+    if (!snapshot.whole && value.revision <= revision)
       continue;
     wire::mirror_entry entry;
     entry.key = key;
-    PutValue(value, packed, entry);
+    EncodeValue(value, compressed, entry);
     entry.revision = value.revision;
-    copy.entries.push_back(std::move(entry));
+    snapshot.entries.push_back(std::move(entry));
   }
-  if (copy.whole)
-    return copy;
+  if (snapshot.whole)
+    return snapshot;
   for (const auto& [key, deletion] : deletions_) {
     if (deletion.revision <= revision)
       continue;
@@ -406,36 +420,36 @@
     entry.key = key;
     entry.revision = deletion.revision;
     entry.lapsed = deletion.lapsed;
-    copy.deleted.push_back(std::move(entry));
+    snapshot.deleted.push_back(std::move(entry));
   }
-  return copy;
+  return snapshot;
 }
 
-bool store_mirror::Take(const wire::mirror_copy& given) {
-  if (given.revision <= revision_)
+bool store_mirror::Apply(const wire::mirror_copy& received) {
+  if (received.revision <= revision_)
     return true;
-  const auto unpacked = UnpackCopy(given);
-  if (!unpacked)
+  const auto decompressed = DecompressSnapshot(received);
+  if (!decompressed)
     return false;
-  const wire::mirror_copy& copy = *unpacked;
+  const wire::mirror_copy& snapshot = *decompressed;
   std::map<std::string, mirrored_value> values;
-  for (const wire::mirror_entry& each : copy.entries) {
-    auto value = ValueOf(each);
+  for (const wire::mirror_entry& each : snapshot.entries) {
+    auto value = DecodeValue(each);
     // Its revision must not count as known without it.
     if (!value)
       return false;
     values[each.key] = std::move(*value);
   }
-  if (copy.whole) {
-    Replace(std::move(values), copy.revision);
+  if (snapshot.whole) {
+    Replace(std::move(values), snapshot.revision);
     return true;
   }
   for (auto& [key, value] : values)
-    Put(key, std::move(value), copy.revision);
+    Put(key, std::move(value), snapshot.revision);
   // After the entries: of an entry and a later deletion the deletion holds.
-  for (const wire::mirror_entry& each : copy.deleted)
+  for (const wire::mirror_entry& each : snapshot.deleted)
     Remove(each.key, each.revision, each.lapsed);
-  Advance(copy.revision);
+  Advance(snapshot.revision);
   return true;
 }
 
--- a/src/host/process/store_mirror.h
+++ b/src/host/process/store_mirror.h
@@ -27,8 +27,8 @@
   std::int64_t revision = 0;
   // `value` as it is given to other hosts: once it was packed or came so.
   // Nothing if it has not been asked for, or is not worth packing.
-  std::optional<std::string> packed;
-  bool packing_tried = false;
+  std::optional<std::string> compressed;
+  bool compression_tried = false;
 };
 
 // What the owner of a mirror is told and asked; runs on the host's thread.
@@ -39,7 +39,7 @@
   // `lapsed`: the store has been in trouble, and the key's owner may live.
   std::function<void(const std::string& key, bool lapsed)> removed;
   // All that the store held when it was asked at this time is here.
-  std::function<void(base::boot_clock::time_point asked)> complete;
+  std::function<void(base::boot_clock::time_point requested_at)> complete;
   // The mirror has a newer revision than before.
   std::function<void(std::int64_t revision)> advanced;
   // Whether this host knows of others. Unset: it never does.
@@ -68,15 +68,15 @@
   bool IsCurrent() const { return current_; }
   // Whether a newer copy should be asked of another host: the store's own
   // answer, if one is due here, is late.
-  bool WantsCopy() const;
+  bool NeedsSnapshot() const;
   // How long ago the store last answered any host that is known of; nothing
   // if it never did.
   std::optional<std::chrono::milliseconds> Age() const;
   // Another host knows of an answer of the store.
-  void HearAnswer(const decisions::told_answer& told);
+  void RecordReportedResponse(const decisions::told_answer& report);
   // The newest answer that is known of, for other hosts; nothing if the store
   // never answered. An answer to this host of which parts come in counts.
-  std::optional<decisions::told_answer> NewestAnswer();
+  std::optional<decisions::told_answer> NewestResponse();
   // Whether a call failed within `span` before now.
   bool FailedWithin(std::chrono::milliseconds span) const;
   std::int64_t revision() const { return revision_; }
@@ -84,28 +84,31 @@
   std::optional<std::string> Value(const std::string& key) const;
 
   // What another host asks for.
-  wire::mirror_copy CopyFor(const wire::mirror_request& wanted);
+  wire::mirror_copy SnapshotFor(const wire::mirror_request& request);
   // What another host lacks that has everything up to a revision, large values
   // packed unless it takes none.
-  wire::mirror_copy CopySince(std::int64_t revision, bool packed = true);
+  wire::mirror_copy SnapshotSince(std::int64_t revision,
+                                  bool compressed = true);
   // Takes in another host's copy, if it is newer and can be read; whether it
   // could.
-  bool Take(const wire::mirror_copy& given);
+  bool Apply(const wire::mirror_copy& received);
 
  private:
-  boost::asio::awaitable<void> AwaitFirstCopy(std::mt19937_64& random);
+  boost::asio::awaitable<void> AwaitInitialSnapshot(std::mt19937_64& random);
   boost::asio::awaitable<void> Loop();
   boost::asio::awaitable<bool> ReadAll();
   boost::asio::awaitable<bool> Follow();
   void Replace(std::map<std::string, mirrored_value> values,
                std::int64_t revision);
-  // `told_at` is the revision of the answer that holds the value.
-  void Put(const std::string& key, mirrored_value value, std::int64_t told_at);
+  // `response_revision` is the revision of the answer that holds the value.
+  void Put(const std::string& key,
+           mirrored_value value,
+           std::int64_t response_revision);
   void Remove(const std::string& key, std::int64_t revision, bool lapsed);
   bool OthersFollow() const;
   bool MayStopFollowing() const;
   void Advance(std::int64_t revision);
-  void NoteAnswered(bool answered);
+  void RecordCallResult(bool succeeded);
 
   boost::asio::io_context& context_;
   store::kv_client& store_;
@@ -114,12 +117,12 @@
   std::map<std::string, mirrored_value> values_;
   std::map<std::string, mirrored_deletion> deletions_;
   // Deletions up to here are forgotten.
-  std::int64_t forgotten_ = 0;
+  std::int64_t discarded_up_to_ = 0;
   std::int64_t revision_ = 0;
   // When the store answered this host, and others.
-  decisions::answer_ages answers_;
+  decisions::answer_ages responses_;
   // When the last whole answer came.
-  std::optional<base::time_point> answered_at_;
+  std::optional<base::time_point> last_response_at_;
   bool current_ = false;
   bool was_down_ = false;
   // The store no longer has the changes since this host's revision.
--- a/src/host/process/store_feed.cc
+++ b/src/host/process/store_update_handler.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "host/process/store_feed.h"
+#include "host/process/store_update_handler.h"
 
 #include <chrono>
 #include <cstdint>
@@ -32,17 +32,20 @@
   return key.substr(prefix.size());
 }
 
-void LogBroken(const std::string& key, const base::error& broken) {
+void LogInvalidValue(const std::string& key, const base::error& error) {
   base::Log(kCategory, log_event::kStoredValueBroken,
-            {{"key", key}, {"reason", broken.message}});
+            {{"key", key}, {"reason", error.message}});
 }
 
 }  // namespace
 
-store_feed::store_feed(host_core& core, store_feed_links links)
-    : core_(core), links_(std::move(links)), keys_(core.speech.keys) {}
+store_update_handler::store_update_handler(host_core& core,
+                                           store_update_callbacks callbacks)
+    : core_(core),
+      callbacks_(std::move(callbacks)),
+      keys_(core.protocol.keys) {}
 
-void store_feed::Apply(catalog::configuration newer) {
+void store_update_handler::ApplyConfiguration(catalog::configuration newer) {
   const bool stale = core_.configuration != nullptr &&
                      newer.version <= core_.configuration->version;
   if (stale) {
@@ -53,7 +56,7 @@
     }
     return;
   }
-  links_.configured(newer);
+  callbacks_.configuration_changed(newer);
   base::Log(kCategory, log_event::kTableApplied,
             {{"version", newer.version},
              {"routes", static_cast<std::int64_t>(newer.routes.size())}});
@@ -61,18 +64,19 @@
       std::make_shared<const catalog::configuration>(std::move(newer));
 }
 
-void store_feed::Put(const std::string& key, const std::string& value) {
+void store_update_handler::Put(const std::string& key,
+                               const std::string& value) {
   if (key == keys_.configuration) {
-    auto decoded = core_.speech.decode_configuration(value);
+    auto decoded = core_.protocol.decode_configuration(value);
     if (decoded)
-      Apply(std::move(*decoded));
+      ApplyConfiguration(std::move(*decoded));
     else
-      LogBroken(key, decoded.error());
+      LogInvalidValue(key, decoded.error());
     return;
   }
   if (key == store::kLeaderKey) {
     if (const auto holder = base::ParseEndpoint(value))
-      links_.holder_seen(*holder);
+      callbacks_.lease_holder_changed(*holder);
     return;
   }
   if (const auto zone = EvacuatedZone(keys_, key)) {
@@ -80,15 +84,17 @@
     base::Log(kCategory, log_event::kZoneEvacuated, {{"zone", *zone}});
     return;
   }
-  if (!links_.held_put(key) && key.starts_with(keys_.server_prefix))
+  if (!callbacks_.quarantine_key_put(key) &&
+      key.starts_with(keys_.server_prefix))
     PutServer(key, value);
 }
 
-void store_feed::PutServer(const std::string& key, const std::string& value) {
+void store_update_handler::PutServer(const std::string& key,
+                                     const std::string& value) {
   const std::string instance = key.substr(keys_.server_prefix.size());
-  auto entry = core_.speech.decode_server(instance, value);
+  auto entry = core_.protocol.decode_server(instance, value);
   if (!entry) {
-    LogBroken(key, entry.error());
+    LogInvalidValue(key, entry.error());
     return;
   }
   const bool draining = entry->draining;
@@ -101,13 +107,13 @@
   }
 }
 
-void store_feed::Remove(const std::string& key, bool lapsed) {
+void store_update_handler::Remove(const std::string& key, bool lapsed) {
   if (const auto zone = EvacuatedZone(keys_, key)) {
     core_.servers.EndEvacuation(*zone, std::chrono::steady_clock::now());
     base::Log(kCategory, log_event::kZoneTakenBack, {{"zone", *zone}});
     return;
   }
-  if (links_.held_removed(key, lapsed) ||
+  if (callbacks_.quarantine_key_removed(key, lapsed) ||
       !key.starts_with(keys_.server_prefix)) {
     return;
   }
--- a/src/host/process/limit_duty.h
+++ b/src/host/process/workspace_limit_service.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Keeps the limits of workspaces over all hosts: asks a limit's owner for each
 // request, and answers for the limits that this host owns.
-#ifndef VALELEDGE_HOST_PROCESS_LIMIT_DUTY_H_
-#define VALELEDGE_HOST_PROCESS_LIMIT_DUTY_H_
+#ifndef VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
+#define VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
 
 #include <chrono>
 #include <functional>
@@ -20,7 +20,7 @@
 namespace valeledge::host {
 
 // What the duty needs of the others; runs on the host's thread.
-struct limit_links {
+struct workspace_limit_callbacks {
   // The host that owns the limit of a workspace; nothing if there is none.
   std::function<std::optional<base::endpoint>(const std::string& workspace)>
       owner;
@@ -32,62 +32,63 @@
       std::chrono::microseconds timeout)>
       call;
   // An owner did not answer.
-  std::function<void(const base::endpoint& owner)> doubt;
+  std::function<void(const base::endpoint& owner)> suspect;
 };
 
-class limit_duty {
+class workspace_limit_service {
  public:
-  limit_duty(host_core& core, limit_links links);
+  workspace_limit_service(host_core& core, workspace_limit_callbacks callbacks);
 
   // Takes what one request counts from the limit of its workspace, by name
   // since it may be gone meanwhile. The error says why it may not be sent.
-  boost::asio::awaitable<base::result<void>> Take(std::string workspace,
-                                                  double count);
+  boost::asio::awaitable<base::result<void>> Acquire(std::string workspace,
+                                                     double count);
   // The request has not run, and never will.
-  void GiveBack(const std::string& workspace, double count);
+  void Release(const std::string& workspace, double count);
 
   // Another host asks for a request of its own.
-  wire::limit_reply Answer(const wire::limit_question& question);
+  wire::limit_reply HandleRequest(const wire::limit_question& request);
 
   // Begins and ends to own limits as members come and go. Call several times a
   // second.
-  void Roll(base::time_point now);
+  void Tick(base::time_point now);
   // Another host was not known before.
-  void NoteNewMember(base::time_point now);
+  void OnMemberJoined(base::time_point now);
 
  private:
   // How one host stands to the owner of one limit.
-  struct relation {
+  struct owner_state {
     decisions::limit_allowance allowance;
     // The owner did not answer; it is asked by one request at a time until it
     // does.
-    bool is_silent = false;
-    bool is_asked = false;
+    bool is_unresponsive = false;
+    bool has_pending_request = false;
   };
 
-  boost::asio::awaitable<std::optional<wire::limit_reply>> AskTwice(
-      wire::limit_question question);
+  boost::asio::awaitable<std::optional<wire::limit_reply>> RequestWithRetry(
+      wire::limit_question request);
   // Whether this host has just started.
-  bool IsFresh(base::time_point now) const;
-  bool Owns(const std::string& workspace) const;
+  bool HasJustStarted(base::time_point now) const;
+  bool OwnsLimit(const std::string& workspace) const;
   // Nothing if this host has no limit of that name.
   const catalog::workspace_limit* FindLimit(const std::string& name) const;
-  boost::asio::awaitable<std::optional<wire::limit_reply>> AskOwner(
-      wire::limit_question question);
-  base::result<void> Judge(const std::string& workspace,
-                           double count,
-                           const std::optional<wire::limit_reply>& reply);
+  boost::asio::awaitable<std::optional<wire::limit_reply>> RequestFromOwner(
+      wire::limit_question request);
+  base::result<void> EvaluateReply(
+      const std::string& workspace,
+      double count,
+      const std::optional<wire::limit_reply>& reply);
 
   // Logs what was asked of the limits that this host owns.
-  void TellUse(base::time_point now);
+  void LogUsage(base::time_point now);
 
   host_core& core_;
-  limit_links links_;
-  std::map<std::string, decisions::limiter_state> accounts_;
-  std::map<std::string, relation> relations_;
-  base::time_point told_;
+  workspace_limit_callbacks callbacks_;
+  std::map<std::string, decisions::limiter_state> limiters_;
+  std::map<std::string, owner_state> owner_states_;
+  base::time_point logged_at_;
 };
 
 }  // namespace valeledge::host
 
-#endif  // VALELEDGE_HOST_PROCESS_LIMIT_DUTY_H_
+#endif  // VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
--- a/src/host/request/caller_check.cc
+++ b/src/host/request/caller_check.cc
@@ -25,7 +25,7 @@
   if (!known.needs_keys || routed.route->is_public)
     return std::nullopt;
   routed.workspace = known.FindWorkspace(routed.head.key);
-  const auto age = decisions::AgeOf(core.certainty, base::boot_clock::now());
+  const auto age = decisions::AgeOf(core.freshness, base::boot_clock::now());
   switch (decisions::JudgeKey(routed.workspace != nullptr, age,
                               core.settings.keys)) {
     case decisions::key_verdict::kGood:
--- a/src/host/request/ending_watch.cc
+++ b/src/host/request/ending_watch.cc
@@ -67,13 +67,13 @@
   if (!decisions::IsSuspect(BrokenAttemptOf(progress, failed)))
     return;
   const auto now = std::chrono::steady_clock::now();
-  core_.server_ended(Digest(), {server.key, progress.sent, now});
+  core_.server_crashed(Digest(), {server.key, progress.sent, now});
 }
 
 void ending_watch::AnsweredWell() {
   // Most of the time nothing is suspected, and nothing is worked out.
   if (!core_.quarantine.suspects.empty())
-    core_.suspect_answered(Digest());
+    core_.suspect_completed(Digest());
 }
 
 }  // namespace valeledge::host
--- a/src/host/request/limit_charge.cc
+++ b/src/host/request/limit_charge.cc
@@ -10,7 +10,7 @@
 
 limit_charge::~limit_charge() {
   if (count_ > 0)
-    core_.give_limit_back(routed_.workspace->name, count_);
+    core_.release_limit(routed_.workspace->name, count_);
 }
 
 boost::asio::awaitable<base::result<void>> limit_charge::Take() {
@@ -19,7 +19,7 @@
     co_return base::result<void>();
   const double count =
       decisions::CountOf(workspace->limit, routed_.head.told_tokens);
-  auto taken = co_await core_.take_limit(workspace->name, count);
+  auto taken = co_await core_.acquire_limit(workspace->name, count);
   if (taken)
     count_ = count;
   co_return taken;
--- a/src/host/request/relay.cc
+++ b/src/host/request/relay.cc
@@ -10,7 +10,7 @@
 #include <boost/beast/http.hpp>
 
 #include "host/constants.h"
-#include "host/process/limit_reading.h"
+#include "host/process/limit_updates.h"
 #include "host/request/attempt_progress.h"
 #include "host/request/caller_check.h"
 #include "host/request/ending_watch.h"
@@ -181,7 +181,7 @@
     const auto event = events.Next();
     if (!event)
       break;
-    const auto id = core_.speech.read_event_id(*event);
+    const auto id = core_.protocol.read_event_id(*event);
     if (id && !trace_.last_event.empty()) {
       const std::int64_t last = std::atoll(trace_.last_event.c_str());
       // A server that goes on elsewhere may repeat what the caller has, but
@@ -252,7 +252,8 @@
 
 asio::awaitable<attempt_end> relay::Attempt(const server_choice& choice) {
   known_server& server = *choice.server;
-  auto forwarded = ForwardableRequest(request_, core_.speech.whole_path_fields);
+  auto forwarded =
+      ForwardableRequest(request_, core_.protocol.whole_path_fields);
   attempt_head added;
   added.deadline = std::max(Left(routed_), milliseconds(1));
   added.instance = server.entry.instance;
@@ -261,7 +262,7 @@
   const bool goes_on = trace_.started || !routed_.head.resume_after.empty();
   if (goes_on)
     added.resume_after = trace_.last_event;
-  core_.speech.write_attempt(forwarded, added);
+  core_.protocol.write_attempt(forwarded, added);
   milliseconds silence = Left(routed_);
   if (routed_.route->MayRepeat() && runs_ + 1 < routed_.route->attempts) {
     const auto part =
@@ -293,7 +294,7 @@
     if (const auto open = weak.lock())
       open->Abandon();
   });
-  const answer_head response = core_.speech.read_answer(exchange.header());
+  const answer_head response = core_.protocol.read_answer(exchange.header());
   const bool foreign =
       !response.request_id.empty() && response.request_id != routed_.head.id;
   if (foreign ||
@@ -305,7 +306,7 @@
                         "an answer that is not this request's");
     co_return attempt_end::kUnknown;
   }
-  ReadLimit(core_, server, response, progress_.sent);
+  ApplyResponseLimit(core_, server, response, progress_.sent);
   if (response.not_run || response.misdirected) {
     attempt.Refused(response);
     last_error_ =
@@ -390,7 +391,7 @@
     co_return;
   }
   trace_.last_event = routed_.head.resume_after;
-  core_.retries.NoteRequest(routed_.service->name, routed_.arrived);
+  core_.retries.RecordRequest(routed_.service->name, routed_.arrived);
   guard_ = std::make_shared<net::open_guard>();
   responder_.OnCallerGone([guard = guard_] { guard->Cancel(); });
   if (const auto leaving = LeavingTooSoon(core_, routed_)) {
--- a/src/host/request/retry_permit.cc
+++ b/src/host/request/retry_permit.cc
@@ -12,7 +12,7 @@
 bool retry_permit::Acquire(const std::string& service, base::time_point now) {
   if (!NeedsRetry()) {
     if (has_sent_)
-      budgets_.NoteFree(service);
+      budgets_.RecordFreeAttempt(service);
     has_sent_ = true;
     return true;
   }
--- a/src/host/request/routed_request.cc
+++ b/src/host/request/routed_request.cc
@@ -54,7 +54,7 @@
                   routed_request& routed) {
   if (!FindRoute(core, request, routed))
     return false;
-  routed.head = core.speech.read_request(request);
+  routed.head = core.protocol.read_request(request);
   const request_head& head = routed.head;
   milliseconds allowed = routed.route->timeout;
   if (head.deadline)
@@ -100,7 +100,7 @@
 }
 
 base::error NoRoute(const host_core& core) {
-  if (!core.is_behind()) {
+  if (!core.is_stale()) {
     return base::MakeError(base::result_code::kUnknownPath,
                            base::outcome::kNotRun,
                            "no route has this host and path");
--- a/src/host/request/server_attempt.cc
+++ b/src/host/request/server_attempt.cc
@@ -45,7 +45,7 @@
   // A server that was suspended gets one request as a trial.
   if (server_->trust.last_suspension.count() != 0)
     server_->trust.probing = true;
-  core_.use_changed(*server_);
+  core_.load_changed(*server_);
   if (place_)
     place_->NoteSent();
   tokens_ahead_ = server_->own.unread_tokens + server_->others.unread_tokens;
@@ -60,7 +60,7 @@
   server_->trust.probing = false;
   // The end of a stream can wait for the next report.
   if (unread_)
-    core_.use_changed(*server_);
+    core_.load_changed(*server_);
 }
 
 void server_attempt::FirstByte() {
@@ -68,7 +68,7 @@
     return;
   unread_ = false;
   server_->own.unread_tokens -= weight_.prompt_tokens;
-  core_.use_changed(*server_);
+  core_.load_changed(*server_);
   const milliseconds took = std::chrono::steady_clock::now() - begun_;
   core_.metrics.Distribution("valeledge_first_byte_seconds")
       .Record(std::chrono::steady_clock::now() - begun_);
--- a/src/host/request/server_search.cc
+++ b/src/host/request/server_search.cc
@@ -59,7 +59,7 @@
                            "no backend server holds the adapter yet");
   }
   const request_head& head = routed.head;
-  const auto holder = co_await core.want_adapter(
+  const auto holder = co_await core.request_adapter(
       routed.service->name, head.model, head.adapter, patience);
   if (!holder)
     co_return tl::make_unexpected(holder.error());
@@ -153,13 +153,13 @@
 asio::awaitable<bool> AcquirePermit(host_core& core,
                                     const routed_request& routed,
                                     const server_choice& choice) {
-  if (!core.take_permit) {
+  if (!core.acquire_permit) {
     choice.server->closed_until =
         std::chrono::steady_clock::now() + kUsualComeBack;
     co_return false;
   }
   const bool granted =
-      co_await core.take_permit(choice.server, PriorityOf(routed));
+      co_await core.acquire_permit(choice.server, PriorityOf(routed));
   if (!granted)
     co_return false;
   co_return choice.server->TakesRequests();
@@ -171,7 +171,7 @@
     host_core& core,
     const routed_request& routed,
     server_choice own) {
-  if (!core.take_place)
+  if (!core.acquire_slot)
     co_return std::move(own);
   const auto now = std::chrono::steady_clock::now();
   place_request wanted;
@@ -179,7 +179,7 @@
   wanted.priority = PriorityOf(routed);
   wanted.left = LeftOnTime(routed, now);
   wanted.avoid = AvoidedOf(core, routed, now);
-  auto dealt = co_await core.take_place(std::move(wanted));
+  auto dealt = co_await core.acquire_slot(std::move(wanted));
   if (!dealt)
     co_return tl::make_unexpected(dealt.error());
   if (*dealt == nullptr)
--- a/tests/auto/host/fake_store.h
+++ b/tests/auto/host/fake_store.h
@@ -32,17 +32,17 @@
   // Transactions without conditions so far.
   int reads = 0;
   // Writes whose answers get lost after they were done.
-  int answers_to_lose = 0;
+  int responses_to_lose = 0;
   // Answers to watches, or to readings, are on their way until this is no
   // longer set and Wake is called.
-  bool holds_watches = false;
-  bool holds_reads = false;
+  bool holds_watch_responses = false;
+  bool holds_read_responses = false;
   // How many are.
-  int held = 0;
+  int held_responses = 0;
   // A part of an answer that is on its way has come.
-  std::optional<base::time_point> heard;
+  std::optional<base::time_point> response_started_at;
   // How long the last watch may wait at the most.
-  std::optional<std::chrono::microseconds> longest_watch;
+  std::optional<std::chrono::microseconds> max_watch_time;
   // Watches answer that the history is gone once.
   bool history_gone = false;
 
@@ -85,12 +85,12 @@
         result.results.push_back(Do(each));
     }
     result.revision = revision_;
-    ++held;
-    while (holds_reads)
+    ++held_responses;
+    while (holds_read_responses)
       co_await Changed();
-    --held;
-    if (answers_to_lose > 0 && !transaction.conditions.empty()) {
-      --answers_to_lose;
+    --held_responses;
+    if (responses_to_lose > 0 && !transaction.conditions.empty()) {
+      --responses_to_lose;
       co_return base::Unknown(base::result_code::kPlatformAnswerLost, "lost");
     }
     co_return result;
@@ -99,8 +99,8 @@
   boost::asio::awaitable<base::result<store::kv_changes>> AwaitChange(
       std::string,
       std::int64_t from,
-      std::chrono::microseconds longest) override {
-    longest_watch = longest;
+      std::chrono::microseconds max_time) override {
+    max_watch_time = max_time;
     while (true) {
       if (down)
         co_return Unavailable();
@@ -114,10 +114,10 @@
       }
       changes.revision = revision_;
       if (!changes.events.empty()) {
-        ++held;
-        while (holds_watches)
+        ++held_responses;
+        while (holds_watch_responses)
           co_await Changed();
-        --held;
+        --held_responses;
         co_return changes;
       }
       co_await Changed();
@@ -132,7 +132,7 @@
   }
   boost::asio::awaitable<base::result<void>> KeepLease(
       std::int64_t lease) override {
-    if (!grants_leases || ended_.contains(lease))
+    if (!grants_leases || revoked_.contains(lease))
       co_return base::NotRun(base::result_code::kLeaseLost, "gone");
     co_return base::result<void>();
   }
@@ -140,7 +140,7 @@
       std::int64_t lease) override {
     if (!grants_leases)
       co_return Unavailable();
-    ended_.insert(lease);
+    revoked_.insert(lease);
     std::vector<std::string> keys;
     for (const auto& [key, pair] : keys_) {
       if (pair.lease == lease)
@@ -150,7 +150,9 @@
       Remove(key);
     co_return base::result<void>();
   }
-  std::optional<base::time_point> HeardAt() const override { return heard; }
+  std::optional<base::time_point> HeardAt() const override {
+    return response_started_at;
+  }
   std::int64_t bytes() const override { return 0; }
 
  private:
@@ -186,7 +188,7 @@
   std::vector<store::kv_event> events_;
   std::int64_t revision_ = 0;
   std::int64_t leases_ = 0;
-  std::set<std::int64_t> ended_;
+  std::set<std::int64_t> revoked_;
   boost::asio::steady_timer changed_;
 };
 
--- a/tests/auto/host/relay_world.h
+++ b/tests/auto/host/relay_world.h
@@ -112,13 +112,13 @@
                                              platform::MakeDialect());
     // Earlier requests of this host have earned some retries.
     for (int i = 0; i < 60; ++i)
-      core->retries.NoteRequest("s", std::chrono::steady_clock::now());
-    core->use_changed = [](const host::known_server&) {};
-    core->server_ended = [this](std::uint64_t digest,
-                                const decisions::server_end& end) {
+      core->retries.RecordRequest("s", std::chrono::steady_clock::now());
+    core->load_changed = [](const host::known_server&) {};
+    core->server_crashed = [this](std::uint64_t digest,
+                                  const decisions::server_end& end) {
       decisions::NoteEnd(core->quarantine, digest, end, end.at);
     };
-    core->suspect_answered = [this](std::uint64_t digest) {
+    core->suspect_completed = [this](std::uint64_t digest) {
       decisions::NoteWhole(core->quarantine, digest);
     };
     AddRoute("/once/", catalog::route_kind::kOnce, false);
--- a/tests/auto/host/test_caller_keys.cc
+++ b/tests/auto/host/test_caller_keys.cc
@@ -27,13 +27,13 @@
     configuration.workspaces.push_back({"band", {"key-three"}, {}});
     configuration.keys = catalog::key_index(configuration.workspaces);
     core->settings.keys = {5s, 3s};
-    BeCertainAsOf(0s);
+    SetFreshness(0s);
     AddServer("i-1", first.address());
   }
 
   // What is known was complete so long ago.
-  void BeCertainAsOf(std::chrono::milliseconds age) {
-    core->certainty.complete_as_of = base::boot_clock::now() - age;
+  void SetFreshness(std::chrono::milliseconds age) {
+    core->freshness.complete_as_of = base::boot_clock::now() - age;
   }
 
   seen_answer AskAs(const caller_fields& fields,
@@ -45,7 +45,7 @@
 
 BOOST_AUTO_TEST_SUITE(caller_keys)
 
-BOOST_AUTO_TEST_CASE(the_workspace_is_told_and_the_key_is_not) {
+BOOST_AUTO_TEST_CASE(the_workspace_is_forwarded_and_the_key_is_not) {
   keyed_world here;
   for (const std::string key : {"key-one", "key-two"}) {
     BOOST_TEST(here.AskAs({{"Api-Key", key}}).status == 200);
@@ -57,7 +57,7 @@
   BOOST_TEST(here.first.requests.back()["X-Tenant"] == "band");
 }
 
-BOOST_AUTO_TEST_CASE(who_has_no_good_key_is_refused_and_reaches_no_server) {
+BOOST_AUTO_TEST_CASE(callers_without_a_valid_key_are_refused) {
   keyed_world here;
   const std::vector<caller_fields> wrong = {
       {},
@@ -68,16 +68,16 @@
       {{"X-Tenant", "choir"}},
   };
   for (const caller_fields& fields : wrong) {
-    const seen_answer seen = here.AskAs(fields);
-    BOOST_TEST(seen.status == 401);
-    BOOST_TEST(seen.body.find("key-") == std::string::npos);
+    const seen_answer received = here.AskAs(fields);
+    BOOST_TEST(received.status == 401);
+    BOOST_TEST(received.body.find("key-") == std::string::npos);
   }
   BOOST_TEST(here.first.requests.empty());
 }
 
 // Whatever a caller sends under the names that this system sets, the server
 // gets one field, and what this system says.
-BOOST_AUTO_TEST_CASE(what_the_system_sets_is_set_last) {
+BOOST_AUTO_TEST_CASE(fields_set_by_the_host_override_caller_fields) {
   keyed_world here;
   const caller_fields key{{"Api-Key", "key-one"}};
   const std::vector<caller_fields> spoofs = {
@@ -102,7 +102,7 @@
 }
 
 // RFC 9110, 7.6.1.
-BOOST_AUTO_TEST_CASE(fields_of_one_connection_end_there) {
+BOOST_AUTO_TEST_CASE(hop_by_hop_fields_are_not_forwarded) {
   keyed_world here;
   here.AskAs({{"Api-Key", "key-one"},
               {"Connection", "keep-alive, X-Hop"},
@@ -116,11 +116,11 @@
   BOOST_TEST(sent[http::field::host] == "a.example");
 }
 
-BOOST_AUTO_TEST_CASE(public_routes_need_no_key_and_tell_no_workspace) {
+BOOST_AUTO_TEST_CASE(public_routes_need_no_key_and_forward_no_workspace) {
   keyed_world here;
   for (catalog::route& each : here.configuration.routes)
     each.is_public = true;
-  here.BeCertainAsOf(1h);
+  here.SetFreshness(1h);
   BOOST_TEST(here.AskAs({{"X-Tenant", "choir"}, {"Api-Key", "x"}}).status ==
              200);
   const net::http_request& sent = here.first.requests.back();
@@ -128,7 +128,7 @@
   BOOST_TEST(sent.count("Api-Key") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(without_workspaces_nothing_is_asked_for) {
+BOOST_AUTO_TEST_CASE(without_workspaces_no_key_is_required) {
   world here;
   here.AddServer("i-1", here.first.address());
   here.added_fields = {{"X-Tenant", "choir"}};
@@ -136,26 +136,25 @@
   BOOST_TEST(here.first.requests.back().count("X-Tenant") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_host_that_cannot_tell_says_so_and_not_that_a_key_is_bad) {
+BOOST_AUTO_TEST_CASE(a_host_with_stale_keys_responds_503_instead_of_401) {
   keyed_world here;
   const caller_fields good{{"Api-Key", "key-one"}};
   const caller_fields unknown{{"Api-Key", "key-new"}};
-  here.BeCertainAsOf(4s);
+  here.SetFreshness(4s);
   BOOST_TEST(here.AskAs(good).status == 200);
-  const seen_answer early = here.AskAs(unknown);
-  BOOST_TEST(early.status == 503);
-  BOOST_TEST(!early.fields[http::field::retry_after].empty());
-  here.BeCertainAsOf(5s);
+  const seen_answer refused = here.AskAs(unknown);
+  BOOST_TEST(refused.status == 503);
+  BOOST_TEST(!refused.fields[http::field::retry_after].empty());
+  here.SetFreshness(5s);
   BOOST_TEST(here.AskAs(good).status == 503);
   BOOST_TEST(here.first.requests.size() == 1u);
-  here.core->certainty.complete_as_of.reset();
+  here.core->freshness.complete_as_of.reset();
   BOOST_TEST(here.AskAs(good).status == 503);
-  here.BeCertainAsOf(0s);
+  here.SetFreshness(0s);
   BOOST_TEST(here.AskAs(good).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_workspaces_rank_goes_before_its_routes) {
+BOOST_AUTO_TEST_CASE(a_workspaces_priority_overrides_the_routes) {
   keyed_world here;
   here.AddEngine(1s);
   here.configuration.routes.front().priority = 2;
--- a/tests/auto/host/test_late_answers.cc
+++ b/tests/auto/host/test_late_answers.cc
@@ -42,24 +42,24 @@
   here.store.Put("server", "1");
   here.mirror.Start();
   here.RunUntil([&] { return here.mirror.revision() == 1; });
-  here.store.holds_watches = true;
+  here.store.holds_watch_responses = true;
   here.store.Put("server", "2");
-  here.RunUntil([&] { return here.store.held == 1; });
+  here.RunUntil([&] { return here.store.held_responses == 1; });
   wire::mirror_copy copy;
   copy.revision = 4;
   copy.deleted.push_back(Entry("server", 3));
   copy.entries.push_back(Entry("other", 4));
-  here.mirror.Take(copy);
+  here.mirror.Apply(copy);
   BOOST_TEST(!here.mirror.Value("server").has_value());
-  here.store.holds_watches = false;
+  here.store.holds_watch_responses = false;
   here.store.Wake();
-  here.RunUntil([&] { return here.store.held == 0; });
+  here.RunUntil([&] { return here.store.held_responses == 0; });
   here.RunUntil([&] { return here.mirror.IsCurrent(); });
   BOOST_TEST(!here.mirror.Value("server").has_value());
   BOOST_TEST(here.mirror.Value("other").has_value());
   BOOST_TEST(here.mirror.revision() == 4);
   // Nor do others get it from here.
-  BOOST_TEST(here.mirror.CopySince(1).entries.size() == 1u);
+  BOOST_TEST(here.mirror.SnapshotSince(1).entries.size() == 1u);
 }
 
 // The same for a reading of everything: its pages are no older than its
@@ -67,15 +67,15 @@
 BOOST_AUTO_TEST_CASE(a_reading_that_comes_late_brings_nothing_back) {
   world here;
   here.store.Put("server", "1");
-  here.store.holds_reads = true;
+  here.store.holds_read_responses = true;
   here.mirror.Start();
-  here.RunUntil([&] { return here.store.held == 1; });
+  here.RunUntil([&] { return here.store.held_responses == 1; });
   wire::mirror_copy copy;
   copy.revision = 4;
   copy.whole = true;
   copy.entries.push_back(Entry("other", 4));
-  here.mirror.Take(copy);
-  here.store.holds_reads = false;
+  here.mirror.Apply(copy);
+  here.store.holds_read_responses = false;
   here.store.Wake();
   here.RunUntil([&] { return here.mirror.IsCurrent(); });
   BOOST_TEST(!here.mirror.Value("server").has_value());
@@ -91,7 +91,7 @@
   copy.deleted.push_back(Entry("gone", 7));
   copy.entries.push_back(Entry("back", 8));
   copy.deleted.push_back(Entry("back", 6));
-  here.mirror.Take(copy);
+  here.mirror.Apply(copy);
   BOOST_TEST(!here.mirror.Value("gone").has_value());
   BOOST_TEST(here.mirror.Value("back").has_value());
 }
--- a/tests/auto/host/test_quarantine_duty.cc
+++ b/tests/auto/host/test_quarantine_coordinator.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // Several hosts that tell each other under which requests servers end, in
 // memory and one event loop, with a store that all of them read.
-#include "host/process/quarantine_duty.h"
+#include "host/process/quarantine_coordinator.h"
 
 #include <memory>
 #include <set>
@@ -25,7 +25,7 @@
 const std::string kKey = "valeledge/held/fedcba9876543210";
 
 // An attempt that was sent, and at once its server ended.
-decisions::server_end EndOf(std::int32_t server) {
+decisions::server_end CrashOf(std::int32_t server) {
   const auto now = std::chrono::steady_clock::now();
   return {server, now, now};
 }
@@ -33,7 +33,7 @@
 class fleet {
  public:
   // `hearing` hosts are told of ends; the others only read the store.
-  fleet(std::size_t count, std::size_t hearing) : hearing_(hearing) {
+  fleet(std::size_t count, std::size_t receivers) : receivers_(receivers) {
     store.grants_leases = true;
     for (std::size_t i = 0; i < count; ++i)
       AddHost();
@@ -42,44 +42,46 @@
   void AddHost() {
     const std::size_t at = hosts_.size();
     one_host& added = *hosts_.emplace_back(std::make_unique<one_host>(context));
-    host::quarantine_links links;
-    links.tell = [this, at](const std::string& value,
-                            const membership::direct_audience&) {
+    host::quarantine_callbacks callbacks;
+    callbacks.send = [this, at](const std::string& value,
+                                const membership::direct_audience&) {
       Deliver(at, value);
     };
-    links.is_first = [this, at](const std::string&) { return at == first; };
-    added.duty = std::make_unique<host::quarantine_duty>(added.core, store,
-                                                         std::move(links));
+    callbacks.is_first = [this, at](const std::string&) { return at == first; };
+    added.coordinator = std::make_unique<host::quarantine_coordinator>(
+        added.core, store, std::move(callbacks));
   }
 
-  host::quarantine_duty& At(std::size_t i) { return *hosts_[i]->duty; }
+  host::quarantine_coordinator& At(std::size_t i) {
+    return *hosts_[i]->coordinator;
+  }
 
-  bool Holds(std::size_t i) {
+  bool IsQuarantined(std::size_t i) {
     const auto now = std::chrono::steady_clock::now();
     return decisions::HeldFor(hosts_[i]->core.quarantine, kRequest, now)
         .has_value();
   }
 
-  std::size_t CountHolding() {
+  std::size_t CountQuarantining() {
     std::size_t count = 0;
     for (std::size_t i = 0; i < hosts_.size(); ++i)
-      count += Holds(i) ? 1 : 0;
+      count += IsQuarantined(i) ? 1 : 0;
     return count;
   }
 
   // Runs what is under way, and has all hosts read the store.
-  void Settle() {
+  void RunAndReadStore() {
     context.restart();
     while (context.poll_one() != 0) {
     }
-    const bool there = StoreHas();
-    if (there != stored_) {
-      stored_ = there;
+    const bool is_stored = StoreHas();
+    if (is_stored != stored_) {
+      stored_ = is_stored;
       for (const auto& each : hosts_) {
-        if (there)
-          each->duty->PutKey(kKey);
+        if (is_stored)
+          each->coordinator->PutKey(kKey);
         else
-          each->duty->RemoveKey(kKey, false);
+          each->coordinator->RemoveKey(kKey, false);
       }
     }
   }
@@ -94,14 +96,14 @@
   }
 
   bool StoreHas() {
-    store::kv_transaction look;
-    look.on_success.push_back(store::Get(kKey));
+    store::kv_transaction query;
+    query.on_success.push_back(store::Get(kKey));
     bool found = false;
     boost::asio::co_spawn(
         context,
         [&]() -> boost::asio::awaitable<void> {
-          const auto answer = co_await store.Run(std::move(look));
-          found = answer && !answer->results.front().pairs.empty();
+          const auto response = co_await store.Run(std::move(query));
+          found = response && !response->results.front().pairs.empty();
         },
         boost::asio::detached);
     context.restart();
@@ -115,90 +117,94 @@
   // The host that is chosen to write.
   std::size_t first = 0;
   // Hosts that nothing reaches and that reach nobody.
-  std::set<std::size_t> cut;
+  std::set<std::size_t> disconnected;
   // Messages that were sent.
-  int told = 0;
+  int sent = 0;
 
  private:
   struct one_host {
     explicit one_host(boost::asio::io_context& context)
         : core(context, host::host_settings(), platform::MakeDialect()) {}
     host::host_core core;
-    std::unique_ptr<host::quarantine_duty> duty;
+    std::unique_ptr<host::quarantine_coordinator> coordinator;
   };
 
   void Deliver(std::size_t from, const std::string& value) {
-    ++told;
-    const auto news = wire::DecodeEndNews(value);
-    BOOST_REQUIRE(news.has_value());
-    for (std::size_t i = 0; i < hearing_; ++i) {
-      if (i != from && !cut.contains(i) && !cut.contains(from))
-        hosts_[i]->duty->TakeNews(*news);
+    ++sent;
+    const auto update = wire::DecodeEndNews(value);
+    BOOST_REQUIRE(update.has_value());
+    for (std::size_t i = 0; i < receivers_; ++i) {
+      if (i != from && !disconnected.contains(i) &&
+          !disconnected.contains(from))
+        hosts_[i]->coordinator->HandleUpdate(*update);
     }
   }
 
-  std::size_t hearing_;
+  std::size_t receivers_;
   std::vector<std::unique_ptr<one_host>> hosts_;
   bool stored_ = false;
 };
 
-BOOST_AUTO_TEST_SUITE(quarantine_duties)
+BOOST_AUTO_TEST_SUITE(quarantine_coordination)
 
-BOOST_AUTO_TEST_CASE(all_hosts_hold_what_ended_servers_at_three_of_them) {
+BOOST_AUTO_TEST_CASE(three_crashes_quarantine_a_request_at_all_hosts) {
   fleet here(8, 8);
   for (std::size_t i = 0; i < 3; ++i) {
-    BOOST_TEST(here.CountHolding() == 0u);
-    here.At(i).NoteEnd(kRequest, EndOf(static_cast<std::int32_t>(i)));
+    BOOST_TEST(here.CountQuarantining() == 0u);
+    here.At(i).OnServerCrash(kRequest, CrashOf(static_cast<std::int32_t>(i)));
   }
-  BOOST_TEST(here.CountHolding() == 8u);
+  BOOST_TEST(here.CountQuarantining() == 8u);
 }
 
-BOOST_AUTO_TEST_CASE(hosts_that_hear_nothing_learn_it_from_the_store) {
+BOOST_AUTO_TEST_CASE(
+    hosts_without_updates_learn_of_a_quarantine_from_the_store) {
   fleet here(300, 16);
   for (std::size_t i = 0; i < 3; ++i)
-    here.At(100 + i).NoteEnd(kRequest, EndOf(static_cast<std::int32_t>(i)));
-  BOOST_TEST(here.CountHolding() == 16u);
-  here.Settle();
-  BOOST_TEST(here.CountHolding() == 300u);
+    here.At(100 + i).OnServerCrash(kRequest,
+                                   CrashOf(static_cast<std::int32_t>(i)));
+  BOOST_TEST(here.CountQuarantining() == 16u);
+  here.RunAndReadStore();
+  BOOST_TEST(here.CountQuarantining() == 300u);
   // One that starts later reads the same.
   here.AddHost();
   here.At(300).PutKey(kKey);
-  BOOST_TEST(here.Holds(300));
+  BOOST_TEST(here.IsQuarantined(300));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_not_heard_is_told_again) {
+BOOST_AUTO_TEST_CASE(missed_updates_are_repeated) {
   fleet here(3, 3);
-  here.cut = {2};
+  here.disconnected = {2};
   for (std::int32_t server = 0; server < 3; ++server)
-    here.At(0).NoteEnd(kRequest, EndOf(server));
-  BOOST_TEST(here.CountHolding() == 2u);
-  here.cut.clear();
+    here.At(0).OnServerCrash(kRequest, CrashOf(server));
+  BOOST_TEST(here.CountQuarantining() == 2u);
+  here.disconnected.clear();
   here.At(0).Republish();
-  BOOST_TEST(here.Holds(2));
+  BOOST_TEST(here.IsQuarantined(2));
 }
 
 // Of the many requests that are at one end, only those at a second are told of
 // again.
-BOOST_AUTO_TEST_CASE(what_was_at_one_end_only_is_told_once) {
+BOOST_AUTO_TEST_CASE(a_single_crash_is_published_once) {
   fleet here(3, 3);
-  here.At(0).NoteEnd(kRequest, EndOf(1));
-  const int told = here.told;
+  here.At(0).OnServerCrash(kRequest, CrashOf(1));
+  const int sent = here.sent;
   for (int i = 0; i < 8; ++i)
     here.At(0).Republish();
-  BOOST_TEST(here.told == told);
-  here.At(1).NoteEnd(kRequest, EndOf(2));
+  BOOST_TEST(here.sent == sent);
+  here.At(1).OnServerCrash(kRequest, CrashOf(2));
   here.At(0).Republish();
-  BOOST_TEST(here.told == told + 2);
+  BOOST_TEST(here.sent == sent + 2);
 }
 
-BOOST_AUTO_TEST_CASE(hosts_act_without_the_store_and_write_once_it_is_back) {
+BOOST_AUTO_TEST_CASE(
+    hosts_quarantine_without_the_store_and_write_once_it_is_back) {
   fleet here(4, 4);
   here.store.down = true;
   here.store.grants_leases = false;
   for (std::int32_t server = 0; server < 3; ++server)
-    here.At(1).NoteEnd(kRequest, EndOf(server));
-  here.Settle();
-  BOOST_TEST(here.CountHolding() == 4u);
+    here.At(1).OnServerCrash(kRequest, CrashOf(server));
+  here.RunAndReadStore();
+  BOOST_TEST(here.CountQuarantining() == 4u);
   here.store.down = false;
   here.store.grants_leases = true;
   here.RunUntilStored();
@@ -210,37 +216,37 @@
   // Chosen, and not there.
   here.first = 7;
   for (std::int32_t server = 0; server < 3; ++server)
-    here.At(0).NoteEnd(kRequest, EndOf(server));
+    here.At(0).OnServerCrash(kRequest, CrashOf(server));
   here.RunUntilStored();
   BOOST_TEST(here.StoreHas());
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_clears_a_request_everywhere) {
+BOOST_AUTO_TEST_CASE(a_completed_response_clears_a_request_everywhere) {
   fleet here(3, 3);
-  here.At(0).NoteEnd(kRequest, EndOf(1));
-  here.At(1).NoteEnd(kRequest, EndOf(2));
-  here.At(2).NoteWhole(kRequest);
+  here.At(0).OnServerCrash(kRequest, CrashOf(1));
+  here.At(1).OnServerCrash(kRequest, CrashOf(2));
+  here.At(2).OnCompletedResponse(kRequest);
   // Nobody tells of what was before.
   for (std::size_t i = 0; i < 3; ++i)
     here.At(i).Republish();
-  here.At(0).NoteEnd(kRequest, EndOf(3));
-  here.At(1).NoteEnd(kRequest, EndOf(4));
-  BOOST_TEST(here.CountHolding() == 0u);
-  here.At(2).NoteEnd(kRequest, EndOf(5));
-  BOOST_TEST(here.CountHolding() == 3u);
+  here.At(0).OnServerCrash(kRequest, CrashOf(3));
+  here.At(1).OnServerCrash(kRequest, CrashOf(4));
+  BOOST_TEST(here.CountQuarantining() == 0u);
+  here.At(2).OnServerCrash(kRequest, CrashOf(5));
+  BOOST_TEST(here.CountQuarantining() == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_that_goes_lifts_the_hold_unless_the_store_was_down) {
+BOOST_AUTO_TEST_CASE(a_deleted_key_ends_the_quarantine_unless_it_lapsed) {
   fleet here(2, 2);
   here.At(0).PutKey(kKey);
   here.At(1).PutKey(kKey);
   here.At(0).RemoveKey(kKey, true);
   here.At(1).RemoveKey(kKey, false);
-  BOOST_TEST(here.Holds(0));
-  BOOST_TEST(!here.Holds(1));
+  BOOST_TEST(here.IsQuarantined(0));
+  BOOST_TEST(!here.IsQuarantined(1));
 }
 
-BOOST_AUTO_TEST_CASE(other_keys_are_left_to_others) {
+BOOST_AUTO_TEST_CASE(unrelated_keys_are_not_handled) {
   fleet here(1, 1);
   BOOST_TEST(!here.At(0).PutKey("valeledge/controller/leader"));
   BOOST_TEST(!here.At(0).PutKey("valeledge/held/not a digest"));
--- a/tests/auto/host/test_relay.cc
+++ b/tests/auto/host/test_relay.cc
@@ -317,7 +317,7 @@
   here.configuration.routes.clear();
   BOOST_TEST(here.Ask("/once/").status == 404);
   // A host that knows of something newer does not say that a path is unknown.
-  here.core->is_behind = [] { return true; };
+  here.core->is_stale = [] { return true; };
   const auto early = here.Ask("/other/");
   BOOST_TEST(early.status == 503);
   net::http_request request;
--- a/tests/auto/host/test_retry_permit.cc
+++ b/tests/auto/host/test_retry_permit.cc
@@ -14,7 +14,7 @@
 struct fixture {
   fixture() {
     for (int i = 0; i < 25; ++i)
-      budgets.NoteRequest("s", kNow);
+      budgets.RecordRequest("s", kNow);
   }
 
   std::int64_t Count(std::string_view what) {
--- a/tests/auto/host/test_server_limit_fleet.cc
+++ b/tests/auto/host/test_server_limit_fleet.cc
@@ -34,11 +34,11 @@
   void AddHost() {
     const bool is_holder = hosts.empty();
     hosts.push_back(std::make_unique<world>(event_loop));
-    host::server_limit_links links;
-    links.term = [this, is_holder] { return is_holder ? term : 0; };
-    links.holder = [this] { return holder; };
-    links.call = [this](base::endpoint, wire::envelope call,
-                        std::chrono::microseconds)
+    host::server_limit_callbacks callbacks;
+    callbacks.term = [this, is_holder] { return is_holder ? term : 0; };
+    callbacks.holder = [this] { return holder; };
+    callbacks.call = [this](base::endpoint, wire::envelope call,
+                            std::chrono::microseconds)
         -> boost::asio::awaitable<base::result<wire::envelope>> {
       if (!holder_answers)
         co_return base::NotRun(base::result_code::kPeerUnreachable, "silent");
@@ -46,16 +46,16 @@
       if (call.__isset.permit_wanted)
         reply.__set_permit(limits.front()->Grant(call.permit_wanted));
       else
-        limits.front()->TakeChange(call.limit_changed);
+        limits.front()->HandleLimitChange(call.limit_changed);
       co_return reply;
     };
-    links.broadcast = [this](const wire::limit_news& news) {
+    callbacks.broadcast = [this](const wire::limit_news& update) {
       for (std::size_t i = 1; i < limits.size(); ++i)
-        limits[i]->TakeNews(news);
+        limits[i]->HandleUpdate(update);
     };
-    links.broadcast_in_zone = [](const wire::limit_news&) {};
-    limits.push_back(std::make_unique<host::server_limits>(*hosts.back()->core,
-                                                           std::move(links)));
+    callbacks.broadcast_in_zone = [](const wire::limit_news&) {};
+    limits.push_back(std::make_unique<host::server_limits>(
+        *hosts.back()->core, std::move(callbacks)));
     hosts.back()->AddServer("i-1", server.address());
   }
 
@@ -78,7 +78,7 @@
 BOOST_AUTO_TEST_SUITE(server_limit_fleet)
 
 // The users' rule for any 4 s: one and a half times the limit and 5 requests.
-BOOST_AUTO_TEST_CASE(a_servers_limit_is_not_overrun_by_hosts_that_were_told) {
+BOOST_AUTO_TEST_CASE(hosts_together_do_not_exceed_a_known_server_limit) {
   constexpr std::size_t kAllowed = 11;
   constexpr int kHosts = 8;
   constexpr int kRequestsEach = 5;
@@ -86,58 +86,58 @@
   here.server.script = {{Limited("1")}};
   for (const auto& each : here.hosts)
     each->Ask("/once/");
-  const std::size_t told = here.server.requests.size();
+  const std::size_t sent_before = here.server.requests.size();
   for (int i = 0; i < kRequestsEach; ++i) {
     for (const auto& each : here.hosts)
       each->Ask("/once/");
   }
-  BOOST_TEST(here.server.requests.size() - told <= kAllowed);
+  BOOST_TEST(here.server.requests.size() - sent_before <= kAllowed);
 }
 
-BOOST_AUTO_TEST_CASE(a_permit_that_is_due_is_used_by_any_host) {
+BOOST_AUTO_TEST_CASE(any_host_can_use_the_next_permit) {
   fleet here(3);
   here.server.script = {{Limited("20")}};
   here.hosts[1]->Ask("/once/");
   BOOST_TEST(here.hosts[2]->Ask("/once/").status == 200);
-  const std::size_t told = here.server.requests.size();
+  const std::size_t sent_before = here.server.requests.size();
   const auto deadline = std::chrono::steady_clock::now() + 10s;
   while (here.hosts[2]->Ask("/once/").status != 200)
     BOOST_REQUIRE(std::chrono::steady_clock::now() < deadline);
-  BOOST_TEST(here.server.requests.size() == told + 1);
+  BOOST_TEST(here.server.requests.size() == sent_before + 1);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_holder_a_limited_server_gets_nothing) {
+BOOST_AUTO_TEST_CASE(without_a_lease_holder_a_limited_server_gets_no_requests) {
   fleet here(3);
   here.server.script = {{Limited("1")}};
   here.hosts[1]->Ask("/once/");
-  const std::size_t told = here.server.requests.size();
+  const std::size_t sent_before = here.server.requests.size();
   here.holder_answers = false;
   BOOST_TEST(here.hosts[1]->Ask("/once/").status == 503);
   here.holder.reset();
   BOOST_TEST(here.hosts[1]->Ask("/once/").status == 503);
-  BOOST_TEST(here.server.requests.size() == told);
+  BOOST_TEST(here.server.requests.size() == sent_before);
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_has_no_response_yet_is_told_of_a_limit) {
+BOOST_AUTO_TEST_CASE(a_limit_is_published_to_hosts_without_a_response) {
   fleet here(3);
   here.server.script = {{Limited("1")}};
   here.hosts[1]->Ask("/once/");
   here.event_loop->poll();
-  here.limits.front()->Roll(std::chrono::steady_clock::now());
+  here.limits.front()->Tick(std::chrono::steady_clock::now());
   BOOST_TEST(here.ServerAt(0).IsLimited());
   BOOST_TEST(here.ServerAt(2).IsLimited());
 }
 
-BOOST_AUTO_TEST_CASE(permits_of_an_earlier_term_are_forgotten) {
+BOOST_AUTO_TEST_CASE(limiters_of_an_earlier_term_are_discarded) {
   fleet here(2);
   here.server.script = {{Limited("1")}};
   here.hosts[0]->Ask("/once/");
-  wire::permit_request wanted;
-  wanted.limit.server = "i-1";
-  wanted.limit.__set_rate(1);
-  here.limits.front()->Grant(wanted);
+  wire::permit_request request;
+  request.limit.server = "i-1";
+  request.limit.__set_rate(1);
+  here.limits.front()->Grant(request);
   here.ChangeTerm();
-  const auto reply = here.limits.front()->Grant(wanted);
+  const auto reply = here.limits.front()->Grant(request);
   BOOST_TEST(reply.verdict == 1);
   BOOST_TEST(reply.retry_after_us >= 900'000);
 }
--- a/tests/auto/host/test_server_limits.cc
+++ b/tests/auto/host/test_server_limits.cc
@@ -27,8 +27,8 @@
 BOOST_AUTO_TEST_CASE(a_limit_is_known_until_a_response_lacks_it) {
   world here;
   here.AddServer("i-1", here.first.address());
-  here.core->take_permit = [](const auto&,
-                              std::int64_t) -> boost::asio::awaitable<bool> {
+  here.core->acquire_permit = [](const auto&,
+                                 std::int64_t) -> boost::asio::awaitable<bool> {
     co_return true;
   };
   here.first.script = {{WithLimit("50")}, {WithLimit("few")}, {kWhole}};
@@ -51,22 +51,21 @@
   here.AddServer("i-1", here.first.address());
   here.first.script = {{WithLimit("1")}};
   here.Ask("/once/");
-  here.core->take_permit = [](std::shared_ptr<host::known_server> server,
-                              std::int64_t) -> boost::asio::awaitable<bool> {
+  here.core->acquire_permit = [](std::shared_ptr<host::known_server> server,
+                                 std::int64_t) -> boost::asio::awaitable<bool> {
     server->closed_until = std::chrono::steady_clock::now() + 700ms;
     co_return false;
   };
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const seen_answer refused = here.Ask("/once/");
-  BOOST_TEST((std::chrono::steady_clock::now() - begun < 200ms));
+  BOOST_TEST((std::chrono::steady_clock::now() - start < 200ms));
   BOOST_TEST(refused.status == 503);
   BOOST_TEST(refused.body.find("2014") != std::string::npos);
   BOOST_TEST(!refused.fields[http::field::retry_after].empty());
   BOOST_TEST(here.first.requests.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_server_without_a_limit_takes_what_a_limited_one_does_not) {
+BOOST_AUTO_TEST_CASE(an_unlimited_server_receives_what_a_limited_one_cannot) {
   world here;
   here.AddServer("i-1", here.first.address());
   here.first.script = {{WithLimit("1")}};
@@ -89,14 +88,14 @@
   };
   hold("i-1");
   here.AddServer("i-2", here.second.address());
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const auto limited = here.core->servers.Find("i-1");
-  limited->advertised.limit = {1, begun};
-  limited->closed_until = begun + 10s;
+  limited->advertised.limit = {1, start};
+  limited->closed_until = start + 10s;
   const auto loading = here.core->servers.Find("i-2");
-  loading->coming[host::KeyOf(here.model)] = begun + 400ms;
+  loading->coming[host::KeyOf(here.model)] = start + 400ms;
   const seen_answer seen = here.Ask("/once/", [&](fake_responder&) {
-    const auto waited = std::chrono::steady_clock::now() - begun;
+    const auto waited = std::chrono::steady_clock::now() - start;
     if (waited >= 300ms && loading->entry.models.empty())
       hold("i-2");
   });
--- a/tests/auto/host/test_copy_spread.cc
+++ b/tests/auto/host/test_snapshot_spread.cc
@@ -46,77 +46,82 @@
 
 constexpr auto kStep = 5ms;
 // A host hears from a peer of its zone so often while callers are served.
-constexpr auto kHearsEvery = 30ms;
+constexpr auto kReportInterval = 30ms;
 
-struct played_host {
+struct simulated_host {
   double bandwidth = kNarrow;
-  bool has_copy = false;
+  bool has_snapshot = false;
   decisions::copy_fetches fetches;
 };
 
 struct transfer {
   std::size_t from = 0;
   std::size_t to = 0;
-  double left = 0;
-  double came = 0;
+  double bytes_left = 0;
+  double bytes_received = 0;
   // Nobody waits for it, but it comes in all the same.
-  bool given_up = false;
+  bool abandoned = false;
 };
 
 // Hosts of one availability zone, one of which has a newer copy. Links are
 // shared evenly by what goes over them. Virtual time.
-class zone_play {
+class zone_simulation {
  public:
-  zone_play(std::vector<played_host> hosts, double copy_bytes)
-      : hosts_(std::move(hosts)), copy_bytes_(copy_bytes) {}
+  zone_simulation(std::vector<simulated_host> hosts, double snapshot_bytes)
+      : hosts_(std::move(hosts)), snapshot_bytes_(snapshot_bytes) {}
 
   // When the last host had the copy; nothing if some never had within `most`.
-  std::optional<std::chrono::milliseconds> Run(std::chrono::milliseconds most) {
-    for (auto passed = 0ms; passed <= most; passed += kStep) {
-      const bool all = std::ranges::all_of(hosts_, &played_host::has_copy);
-      if (all)
-        return passed;
-      if (passed % kHearsEvery == 0ms)
-        Hear();
-      Carry();
-      GiveUp();
+  std::optional<std::chrono::milliseconds> Run(
+      std::chrono::milliseconds max_time) {
+    for (auto elapsed = 0ms; elapsed <= max_time; elapsed += kStep) {
+      const bool all_done =
+          std::ranges::all_of(hosts_, &simulated_host::has_snapshot);
+      if (all_done)
+        return elapsed;
+      if (elapsed % kReportInterval == 0ms)
+        StartFetches();
+      AdvanceTransfers();
+      AbandonStalled();
       now_ += kStep;
     }
     return std::nullopt;
   }
 
-  std::ptrdiff_t hosts_without() const {
-    return std::ranges::count(hosts_, false, &played_host::has_copy);
+  std::ptrdiff_t hosts_without_snapshot() const {
+    return std::ranges::count(hosts_, false, &simulated_host::has_snapshot);
   }
 
   // All bytes that were carried, in copies.
-  double copies_carried() const { return carried_ / copy_bytes_; }
+  double snapshots_transferred() const {
+    return bytes_transferred_ / snapshot_bytes_;
+  }
 
  private:
   static base::endpoint AddressOf(std::size_t host) {
     return {"10.0.0." + std::to_string(host), 1};
   }
 
-  void Hear() {
+  void StartFetches() {
     std::uniform_int_distribution<std::size_t> any(0, hosts_.size() - 1);
     for (std::size_t to = 0; to < hosts_.size(); ++to) {
       const std::size_t from = any(random_);
-      const bool newer = hosts_[from].has_copy && !hosts_[to].has_copy;
-      if (newer && decisions::BeginFetch(hosts_[to].fetches, AddressOf(from),
-                                         true, now_)) {
-        Ask(from, to);
+      const bool is_newer =
+          hosts_[from].has_snapshot && !hosts_[to].has_snapshot;
+      if (is_newer && decisions::BeginFetch(hosts_[to].fetches, AddressOf(from),
+                                            true, now_)) {
+        RequestSnapshot(from, to);
       }
     }
   }
 
   // A host that has too much to send says so at once.
-  void Ask(std::size_t from, std::size_t to) {
+  void RequestSnapshot(std::size_t from, std::size_t to) {
     double queued = 0;
     for (const transfer& each : transfers_)
-      queued += each.from == from ? each.left : 0;
+      queued += each.from == from ? each.bytes_left : 0;
     if (decisions::MayGiveCopy(static_cast<std::int64_t>(queued),
                                hosts_[from].bandwidth)) {
-      transfers_.push_back({from, to, copy_bytes_, 0, false});
+      transfers_.push_back({from, to, snapshot_bytes_, 0, false});
     } else {
       decisions::EndFetch(hosts_[to].fetches, AddressOf(from));
     }
@@ -129,54 +134,57 @@
                     hosts_[each.to].bandwidth / static_cast<double>(in));
   }
 
-  void Carry() {
+  void AdvanceTransfers() {
     std::vector<double> rates;
     rates.reserve(transfers_.size());
     for (const transfer& each : transfers_)
       rates.push_back(RateOf(each));
     for (std::size_t i = 0; i < transfers_.size(); ++i) {
       transfer& each = transfers_[i];
-      const double bytes = std::min(
-          each.left, rates[i] * std::chrono::duration<double>(kStep).count());
-      each.left -= bytes;
-      each.came += bytes;
-      carried_ += bytes;
-      if (!each.given_up) {
+      const double bytes =
+          std::min(each.bytes_left,
+                   rates[i] * std::chrono::duration<double>(kStep).count());
+      each.bytes_left -= bytes;
+      each.bytes_received += bytes;
+      bytes_transferred_ += bytes;
+      if (!each.abandoned) {
         decisions::NoteBytes(hosts_[each.to].fetches, AddressOf(each.from),
-                             static_cast<std::int64_t>(each.came), now_);
+                             static_cast<std::int64_t>(each.bytes_received),
+                             now_);
       }
-      if (each.left > 0 || each.given_up)
+      if (each.bytes_left > 0 || each.abandoned)
         continue;
-      hosts_[each.to].has_copy = true;
+      hosts_[each.to].has_snapshot = true;
       decisions::NoteCopy(hosts_[each.to].fetches);
       decisions::EndFetch(hosts_[each.to].fetches, AddressOf(each.from));
     }
-    std::erase_if(transfers_, [](const auto& each) { return each.left <= 0; });
+    std::erase_if(transfers_,
+                  [](const auto& each) { return each.bytes_left <= 0; });
   }
 
-  void GiveUp() {
+  void AbandonStalled() {
     for (transfer& each : transfers_) {
       decisions::copy_fetches& fetches = hosts_[each.to].fetches;
       const auto until = decisions::GiveUpAt(fetches, AddressOf(each.from));
-      if (each.given_up || now_ < until)
+      if (each.abandoned || now_ < until)
         continue;
-      each.given_up = true;
+      each.abandoned = true;
       decisions::EndFetch(fetches, AddressOf(each.from));
     }
   }
 
-  std::vector<played_host> hosts_;
-  double copy_bytes_;
+  std::vector<simulated_host> hosts_;
+  double snapshot_bytes_;
   std::vector<transfer> transfers_;
-  double carried_ = 0;
+  double bytes_transferred_ = 0;
   base::time_point now_{100s};
   std::mt19937_64 random_{1};
 };
 
 // 22 hosts, two of them on wide links; the one that follows the store is not.
-std::vector<played_host> ZoneOfNarrowHosts() {
-  std::vector<played_host> hosts(22);
-  hosts[0].has_copy = true;
+std::vector<simulated_host> ZoneOfNarrowHosts() {
+  std::vector<simulated_host> hosts(22);
+  hosts[0].has_snapshot = true;
   hosts[1].bandwidth = kWide;
   hosts[2].bandwidth = kWide;
   return hosts;
@@ -206,7 +214,7 @@
 }
 
 // Bytes of one host's answer to another that lacks the newest configuration.
-double BytesOfCopy(const std::string& configuration) {
+double SnapshotBytes(const std::string& configuration) {
   boost::asio::io_context context;
   test::fake_store store(context);
   host::store_mirror mirror(
@@ -221,43 +229,47 @@
   entry.value = configuration;
   entry.revision = 2;
   read.entries.push_back(entry);
-  mirror.Take(read);
+  mirror.Apply(read);
   wire::envelope reply;
-  reply.__set_mirror(mirror.CopySince(1));
+  reply.__set_mirror(mirror.SnapshotSince(1));
   return static_cast<double>(wire::Encode(reply).size());
 }
 
-BOOST_AUTO_TEST_SUITE(copy_spread)
+BOOST_AUTO_TEST_SUITE(snapshot_spread)
 
 // Changes must be in force within 3 s of their acknowledgement, of which the
 // store and the host that follows it have used one or two.
-BOOST_AUTO_TEST_CASE(a_large_configuration_reaches_narrow_hosts_in_time) {
+BOOST_AUTO_TEST_CASE(
+    a_large_configuration_reaches_hosts_on_narrow_links_in_time) {
   const std::string configuration = LargeConfiguration(4250);
   BOOST_TEST(configuration.size() > 600e3);
-  zone_play play(ZoneOfNarrowHosts(), BytesOfCopy(configuration));
-  const auto last = play.Run(60s);
-  BOOST_REQUIRE_MESSAGE(last.has_value(),
-                        play.hosts_without()
+  zone_simulation simulation(ZoneOfNarrowHosts(), SnapshotBytes(configuration));
+  const auto last_host_at = simulation.Run(60s);
+  BOOST_REQUIRE_MESSAGE(last_host_at.has_value(),
+                        simulation.hosts_without_snapshot()
                             << " hosts have no copy after 60 s, in which "
-                            << play.copies_carried() << " were carried");
-  BOOST_TEST_MESSAGE("last host after " << last->count() << " ms");
-  BOOST_TEST(last->count() <= 1000);
+                            << simulation.snapshots_transferred()
+                            << " were carried");
+  BOOST_TEST_MESSAGE("last host after " << last_host_at->count() << " ms");
+  BOOST_TEST(last_host_at->count() <= 1000);
 }
 
 // A copy of 750 KB that cannot be made smaller takes 0.6 s on a narrow link; a
 // host that has it gives it to the next, so five such steps would do for 22.
-BOOST_AUTO_TEST_CASE(a_copy_that_stays_large_reaches_narrow_hosts) {
-  zone_play play(ZoneOfNarrowHosts(), 750e3);
-  const auto last = play.Run(60s);
-  BOOST_REQUIRE_MESSAGE(last.has_value(),
-                        play.hosts_without()
+BOOST_AUTO_TEST_CASE(an_incompressible_snapshot_reaches_hosts_on_narrow_links) {
+  zone_simulation simulation(ZoneOfNarrowHosts(), 750e3);
+  const auto last_host_at = simulation.Run(60s);
+  BOOST_REQUIRE_MESSAGE(last_host_at.has_value(),
+                        simulation.hosts_without_snapshot()
                             << " hosts have no copy after 60 s, in which "
-                            << play.copies_carried() << " were carried");
-  BOOST_TEST_MESSAGE("last host after " << last->count() << " ms, "
-                                        << play.copies_carried() << " copies");
-  BOOST_TEST(last->count() <= 6000);
+                            << simulation.snapshots_transferred()
+                            << " were carried");
+  BOOST_TEST_MESSAGE("last host after " << last_host_at->count() << " ms, "
+                                        << simulation.snapshots_transferred()
+                                        << " copies");
+  BOOST_TEST(last_host_at->count() <= 6000);
   // Nothing is carried in vain.
-  BOOST_TEST(play.copies_carried() <= 21 * 1.2);
+  BOOST_TEST(simulation.snapshots_transferred() <= 21 * 1.2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/host/test_store_mirror.cc
+++ b/tests/auto/host/test_store_mirror.cc
@@ -36,7 +36,7 @@
 
 // Servers that are taken away just after an outage are gone at once; only what
 // went during the outage may come back.
-BOOST_AUTO_TEST_CASE(only_what_went_during_an_outage_has_lapsed) {
+BOOST_AUTO_TEST_CASE(only_keys_removed_during_an_outage_have_lapsed) {
   world here;
   here.store.Put("lapses", "1");
   here.store.Put("leaves", "1");
@@ -56,7 +56,7 @@
   BOOST_TEST(!here.removed.back().second);
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_is_read_anew_once_its_history_is_gone) {
+BOOST_AUTO_TEST_CASE(all_keys_are_read_once_after_a_lost_history) {
   world here;
   here.store.Put("a", "1");
   here.mirror.Start();
@@ -82,42 +82,44 @@
 
 // A host that the store turns away takes the copy of another; an older copy
 // changes nothing.
-BOOST_AUTO_TEST_CASE(takes_only_newer_copies) {
+BOOST_AUTO_TEST_CASE(applies_only_newer_snapshots) {
   world here;
   here.store.Put("a", "1");
   here.mirror.Start();
   here.RunUntil([&] { return here.put.size() == 1; });
-  wire::mirror_copy copy = here.mirror.CopySince(0);
+  wire::mirror_copy snapshot = here.mirror.SnapshotSince(0);
   wire::mirror_entry entry;
   entry.key = "b";
   entry.value = "2";
-  entry.revision = copy.revision + 1;
-  copy.entries.push_back(entry);
-  here.mirror.Take(copy);
+  entry.revision = snapshot.revision + 1;
+  snapshot.entries.push_back(entry);
+  here.mirror.Apply(snapshot);
   BOOST_TEST(here.put.size() == 1u);
-  copy.revision += 1;
-  here.mirror.Take(copy);
+  snapshot.revision += 1;
+  here.mirror.Apply(snapshot);
   BOOST_TEST(here.put.size() == 2u);
-  BOOST_TEST(here.mirror.revision() == copy.revision);
+  BOOST_TEST(here.mirror.revision() == snapshot.revision);
 }
 
 // A host that does not follow the store reads it once, then only takes copies,
 // until nobody has heard of the store for a while.
-BOOST_AUTO_TEST_CASE(stands_in_when_nobody_follows) {
+BOOST_AUTO_TEST_CASE(becomes_a_fallback_reader_without_followers) {
   world here;
   here.follows = false;
   here.store.Put("a", "1");
-  here.mirror.HearAnswer({{1, 1, true}, std::chrono::milliseconds(0)});
+  here.mirror.RecordReportedResponse(
+      {{1, 1, true}, std::chrono::milliseconds(0)});
   here.mirror.Start();
   here.RunUntil([&] { return here.put.size() == 1; });
   here.store.Wake();
-  here.mirror.HearAnswer({{1, 2, true}, std::chrono::milliseconds(0)});
+  here.mirror.RecordReportedResponse(
+      {{1, 2, true}, std::chrono::milliseconds(0)});
   here.store.Put("b", "2");
   here.RunUntil([&] { return here.put.size() == 2; });
   BOOST_TEST(here.mirror.Age().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_since_a_revision_has_changes_and_deletions) {
+BOOST_AUTO_TEST_CASE(a_snapshot_since_a_revision_has_changes_and_deletions) {
   world here;
   here.store.Put("a", "1");
   here.store.Put("b", "1");
@@ -127,75 +129,77 @@
   here.store.Remove("a");
   here.store.Put("c", "1");
   here.RunUntil([&] { return here.put.size() == 3; });
-  const wire::mirror_copy copy = here.mirror.CopySince(before);
-  BOOST_TEST(!copy.whole);
-  BOOST_REQUIRE(copy.entries.size() == 1u);
-  BOOST_TEST(copy.entries.front().key == "c");
-  BOOST_REQUIRE(copy.deleted.size() == 1u);
-  BOOST_TEST(copy.deleted.front().key == "a");
+  const wire::mirror_copy snapshot = here.mirror.SnapshotSince(before);
+  BOOST_TEST(!snapshot.whole);
+  BOOST_REQUIRE(snapshot.entries.size() == 1u);
+  BOOST_TEST(snapshot.entries.front().key == "c");
+  BOOST_REQUIRE(snapshot.deleted.size() == 1u);
+  BOOST_TEST(snapshot.deleted.front().key == "a");
   world other;
-  other.mirror.Take(here.mirror.CopySince(0));
+  other.mirror.Apply(here.mirror.SnapshotSince(0));
   BOOST_TEST(other.put.size() == 2u);
 }
 
 // That an answer is on its way is news for the others, which would read for
 // themselves after 1.1 s; it is not whole, so that copies of peers are wanted.
-BOOST_AUTO_TEST_CASE(parts_of_an_answer_show_that_the_store_answers) {
+BOOST_AUTO_TEST_CASE(a_partial_response_shows_that_the_store_responds) {
   world here;
   here.store.Put("a", "1");
   here.mirror.Start();
   here.RunUntil([&] { return here.put.size() == 1; });
-  const auto whole = here.mirror.NewestAnswer();
-  BOOST_REQUIRE(whole.has_value());
+  const auto complete = here.mirror.NewestResponse();
+  BOOST_REQUIRE(complete.has_value());
   const auto later = std::chrono::steady_clock::now();
-  here.store.heard = later;
-  const auto part = here.mirror.NewestAnswer();
-  BOOST_REQUIRE(part.has_value());
-  BOOST_TEST(part->stamp.count == whole->stamp.count + 1);
-  BOOST_TEST(part->stamp.chosen);
+  here.store.response_started_at = later;
+  const auto partial = here.mirror.NewestResponse();
+  BOOST_REQUIRE(partial.has_value());
+  BOOST_TEST(partial->stamp.count == complete->stamp.count + 1);
+  BOOST_TEST(partial->stamp.chosen);
   // The same part counts once.
-  BOOST_TEST(here.mirror.NewestAnswer()->stamp.count == part->stamp.count);
+  BOOST_TEST(here.mirror.NewestResponse()->stamp.count == partial->stamp.count);
 }
 
 // A large value is given packed, on to others as it came, and as it is to those
 // that take none; one that cannot be read leaves everything as it was.
-BOOST_AUTO_TEST_CASE(large_values_are_given_packed) {
+BOOST_AUTO_TEST_CASE(large_values_are_sent_compressed) {
   const std::string large(200'000, 'x');
   world first;
   first.store.Put("a", large);
   first.mirror.Start();
   first.RunUntil([&] { return first.put.size() == 1; });
-  wire::mirror_copy copy = first.mirror.CopySince(0);
-  BOOST_TEST(copy.entries.front().packed);
-  BOOST_TEST(copy.entries.front().value.size() < 1000u);
-  BOOST_TEST(first.mirror.CopySince(0, false).entries.front().value == large);
+  wire::mirror_copy snapshot = first.mirror.SnapshotSince(0);
+  BOOST_TEST(snapshot.entries.front().packed);
+  BOOST_TEST(snapshot.entries.front().value.size() < 1000u);
+  BOOST_TEST(first.mirror.SnapshotSince(0, false).entries.front().value ==
+             large);
   world second;
-  BOOST_TEST(second.mirror.Take(copy));
+  BOOST_TEST(second.mirror.Apply(snapshot));
   BOOST_TEST((second.mirror.Value("a") == large));
-  BOOST_TEST((second.mirror.CopySince(0) == copy));
-  BOOST_TEST(second.mirror.CopySince(0, false).entries.front().value == large);
+  BOOST_TEST((second.mirror.SnapshotSince(0) == snapshot));
+  BOOST_TEST(second.mirror.SnapshotSince(0, false).entries.front().value ==
+             large);
   world third;
-  copy.entries.front().value.pop_back();
-  BOOST_TEST(!third.mirror.Take(copy));
+  snapshot.entries.front().value.pop_back();
+  BOOST_TEST(!third.mirror.Apply(snapshot));
   BOOST_TEST(third.mirror.revision() == 0);
   BOOST_TEST(third.put.empty());
 }
 
 // Where nothing changes for a second, no host that hears of the answers a
 // little later takes the store for silent and reads for itself.
-BOOST_AUTO_TEST_CASE(a_quiet_store_answers_before_others_stand_in) {
-  constexpr std::chrono::milliseconds kTakenForSilent{1100};
+BOOST_AUTO_TEST_CASE(an_idle_watch_ends_before_fallback_readers_start) {
+  constexpr std::chrono::milliseconds kTakeoverTimeout{1100};
   world here;
   here.store.Put("a", "1");
   here.mirror.Start();
   here.RunUntil([&] { return here.put.size() == 1; });
-  BOOST_REQUIRE(here.store.longest_watch.has_value());
-  BOOST_TEST((*here.store.longest_watch + host::kLoadInterval <
-              kTakenForSilent - std::chrono::milliseconds(100)));
+  BOOST_REQUIRE(here.store.max_watch_time.has_value());
+  BOOST_TEST((*here.store.max_watch_time + host::kLoadInterval <
+              kTakeoverTimeout - std::chrono::milliseconds(100)));
 }
 
 // A fleet whose followers are cut off would read the whole store host by host.
-BOOST_AUTO_TEST_CASE(a_host_that_stands_in_goes_on_from_its_copy) {
+BOOST_AUTO_TEST_CASE(a_fallback_reader_continues_from_its_snapshot) {
   world first;
   first.store.Put("a", "1");
   first.mirror.Start();
@@ -204,7 +208,7 @@
   here.follows = false;
   here.knows_others = true;
   here.store.Put("a", "1");
-  BOOST_TEST(here.mirror.Take(first.mirror.CopySince(0)));
+  BOOST_TEST(here.mirror.Apply(first.mirror.SnapshotSince(0)));
   here.store.Put("b", "2");
   here.mirror.Start();
   // Nobody is known to be answered by the store.
@@ -213,7 +217,7 @@
 }
 
 // Entries of backend servers are alike, and too small to pack by themselves.
-BOOST_AUTO_TEST_CASE(a_copy_of_many_small_entries_is_packed_as_one) {
+BOOST_AUTO_TEST_CASE(a_snapshot_of_many_small_entries_is_compressed_as_one) {
   world first;
   constexpr std::size_t kServers = 1000;
   for (std::size_t i = 0; i < kServers; ++i) {
@@ -223,23 +227,23 @@
   }
   first.mirror.Start();
   first.RunUntil([&] { return first.put.size() == kServers; });
-  wire::mirror_request wanted;
-  wanted.__set_takes_packed(true);
-  const wire::mirror_copy plain = first.mirror.CopyFor(wanted);
-  wanted.__set_takes_packed_copy(true);
-  wire::mirror_copy packed = first.mirror.CopyFor(wanted);
-  BOOST_TEST(wire::Encode(packed).size() < wire::Encode(plain).size() / 4);
+  wire::mirror_request request;
+  request.__set_takes_packed(true);
+  const wire::mirror_copy plain = first.mirror.SnapshotFor(request);
+  request.__set_takes_packed_copy(true);
+  wire::mirror_copy compressed = first.mirror.SnapshotFor(request);
+  BOOST_TEST(wire::Encode(compressed).size() < wire::Encode(plain).size() / 4);
   world second;
-  BOOST_TEST(second.mirror.Take(packed));
-  BOOST_TEST((second.mirror.CopyFor({}) == plain));
+  BOOST_TEST(second.mirror.Apply(compressed));
+  BOOST_TEST((second.mirror.SnapshotFor({}) == plain));
   world third;
-  packed.packed.pop_back();
-  BOOST_TEST(!third.mirror.Take(packed));
+  compressed.packed.pop_back();
+  BOOST_TEST(!third.mirror.Apply(compressed));
   BOOST_TEST(third.mirror.revision() == 0);
 }
 
 // Hosts that start together read the store one for each zone.
-BOOST_AUTO_TEST_CASE(a_host_that_knows_others_waits_for_their_copy) {
+BOOST_AUTO_TEST_CASE(a_host_that_knows_others_waits_for_their_snapshot) {
   world here;
   here.follows = false;
   here.knows_others = true;
--- a/tests/auto/store/test_lease_keeper.cc
+++ b/tests/auto/store/test_lease_keeper.cc
@@ -67,7 +67,7 @@
 // The answer is lost, but the write may have been done, and may still be.
 BOOST_AUTO_TEST_CASE(after_a_lost_answer_nobody_is_first) {
   site here;
-  here.store.answers_to_lose = 1;
+  here.store.responses_to_lose = 1;
   const auto first = here.Begin("h1", true);
   here.AwaitTerm(*first);
   BOOST_TEST(!first->is_first_holder());
