--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -130,7 +130,9 @@
                [this](const auto& key, bool lapsed) {
                  store_updates_.Remove(key, lapsed);
                },
-               [this](auto asked) { freshness_.OnMirrorComplete(asked); },
+               [this](auto requested_at) {
+                 freshness_.OnMirrorComplete(requested_at);
+               },
                [this](std::int64_t revision) {
                  peers_.AnnounceRevision(revision);
                  snapshots_.OnRevisionAdvanced();
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -84,7 +84,7 @@
   // Waits for a place at a server of a plain service; nothing if this host
   // chooses by itself. Unset: it always does.
   std::function<boost::asio::awaitable<
-      base::result<std::shared_ptr<dealt_place>>>(place_request wanted)>
+      base::result<std::shared_ptr<dealt_place>>>(place_request request)>
       acquire_slot;
   // Asks for a permit to send one request to a server that advertises a limit;
   // false if there is none now. Unset: there never is.
--- a/src/host/process/owner_services.cc
+++ b/src/host/process/owner_services.cc
@@ -33,8 +33,8 @@
   };
   if (!core_.settings.deals_places)
     return;
-  core_.acquire_slot = [this](place_request wanted) {
-    return slots_.Take(std::move(wanted));
+  core_.acquire_slot = [this](place_request request) {
+    return slots_.Take(std::move(request));
   };
 }
 
@@ -97,8 +97,8 @@
   if (call.__isset.limit_wanted) {
     reply.__set_limit(limits_.HandleRequest(call.limit_wanted));
   } else if (call.__isset.place_wanted) {
-    const auto place = co_await slots_.Answer(std::move(call.place_wanted));
-    reply.__set_place(place);
+    const auto slot = co_await slots_.Answer(std::move(call.place_wanted));
+    reply.__set_place(slot);
   } else {
     slots_.TakeBack(call.place_ended);
     reply.__set_done({});
--- a/tests/auto/host/test_server_limit_fleet.cc
+++ b/tests/auto/host/test_server_limit_fleet.cc
@@ -40,7 +40,7 @@
     callbacks.call = [this](base::endpoint, wire::envelope call,
                             std::chrono::microseconds)
         -> boost::asio::awaitable<base::result<wire::envelope>> {
-      if (!holder_answers)
+      if (!holder_responds)
         co_return base::NotRun(base::result_code::kPeerUnreachable, "silent");
       wire::envelope reply;
       if (call.__isset.permit_wanted)
@@ -70,7 +70,7 @@
   backend_stand_in server{*event_loop};
   std::int64_t term = 7;
   std::optional<base::endpoint> holder = base::endpoint{"10.0.0.1", 1};
-  bool holder_answers = true;
+  bool holder_responds = true;
   std::vector<std::unique_ptr<world>> hosts;
   std::vector<std::unique_ptr<host::server_limits>> limits;
 };
@@ -111,7 +111,7 @@
   here.server.script = {{Limited("1")}};
   here.hosts[1]->Ask("/once/");
   const std::size_t sent_before = here.server.requests.size();
-  here.holder_answers = false;
+  here.holder_responds = false;
   BOOST_TEST(here.hosts[1]->Ask("/once/").status == 503);
   here.holder.reset();
   BOOST_TEST(here.hosts[1]->Ask("/once/").status == 503);
--- a/tests/auto/host/test_server_limits.cc
+++ b/tests/auto/host/test_server_limits.cc
@@ -81,12 +81,12 @@
 BOOST_AUTO_TEST_CASE(a_request_without_a_permit_waits_for_a_replica_in_time) {
   world here;
   here.AddEngine(10s);
-  const auto hold = [&here](const std::string& instance) {
+  const auto load_model = [&here](const std::string& instance) {
     auto entry = here.core->servers.Find(instance)->entry;
     entry.models.push_back({here.model, 1, {}});
     here.core->servers.Put(entry, std::chrono::steady_clock::now());
   };
-  hold("i-1");
+  load_model("i-1");
   here.AddServer("i-2", here.second.address());
   const auto start = std::chrono::steady_clock::now();
   const auto limited = here.core->servers.Find("i-1");
@@ -97,7 +97,7 @@
   const seen_answer seen = here.Ask("/once/", [&](fake_responder&) {
     const auto waited = std::chrono::steady_clock::now() - start;
     if (waited >= 300ms && loading->entry.models.empty())
-      hold("i-2");
+      load_model("i-2");
   });
   BOOST_TEST(seen.status == 200);
   BOOST_TEST(here.first.requests.empty());
