--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -17,19 +17,19 @@
 #include "decisions/cold_start.h"
 #include "decisions/lease_turn.h"
 #include "host/constants.h"
-#include "host/process/key_freshness_monitor.h"
-#include "host/process/snapshot_service.h"
 #include "host/process/host_core.h"
+#include "host/process/key_freshness_monitor.h"
 #include "host/process/load_reports.h"
 #include "host/process/owner_services.h"
 #include "host/process/peer_link.h"
 #include "host/process/placement_controller.h"
 #include "host/process/quarantine_coordinator.h"
-#include "host/process/settings_reloader.h"
 #include "host/process/server_limits.h"
+#include "host/process/settings_reloader.h"
 #include "host/process/shutdown_controller.h"
-#include "host/process/store_update_handler.h"
+#include "host/process/snapshot_service.h"
 #include "host/process/store_mirror.h"
+#include "host/process/store_update_handler.h"
 #include "host/request/final_answers.h"
 #include "host/request/relay.h"
 #include "net/http_server.h"
@@ -48,25 +48,26 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "host";
 
-// Hosts of each availability zone that follow the store for the others, those
-// with wide links if there are any: on a link of 10 Mbit/s a configuration of
-// 4,250 routes takes 0.8 s from the store, and each packed copy of it 0.04 s.
+// Followers of the store in each availability zone, preferably hosts with wide
+// links: on a link of 10 Mbit/s a configuration of 4,250 routes takes 0.8 s to
+// receive from the store, and each compressed snapshot of it takes 0.04 s to
+// send.
 constexpr std::string_view kStoreFollowerSubject = "follow/store";
 constexpr std::size_t kFollowersPerZone = 1;
 
-// Hosts that may be asked to read the store for others: one does, the others
-// are asked in turn if it does not answer.
+// Candidates for reading the store on behalf of other hosts. One of them reads;
+// the next one is tried if it does not respond.
 constexpr std::string_view kStoreReaderSubject = "read/store";
 constexpr std::size_t kReaders = 4;
 
-// Stands for an age that is not known.
+// Reported in metrics for an unknown age.
 constexpr std::int32_t kUnknownAge = -1;
 
-// A host knows the others so long after its start.
+// By this time after its start a host knows the other hosts.
 constexpr milliseconds kDiscoveryPeriod{5000};
 
-// Lines of the log are written at most so late: an engineer who follows the
-// log should see what has just been.
+// Upper bound on the delay of log lines, so that an engineer who follows the
+// log sees recent events.
 constexpr milliseconds kLogFlushInterval{1000};
 
 class host {
@@ -180,7 +181,8 @@
           base::ToString(core_.settings.peer_listen),
           core_.settings.lease_length,
           [this] {
-            // A holder of this host's own address is a process that has ended.
+            // A holder with this host's own address is an earlier process of
+            // this host that has stopped.
             const auto holder = mirror_.Value(std::string(store::kLeaderKey));
             return mirror_.IsCurrent() && !shutdown_.stopping() &&
                    (!holder ||
@@ -228,7 +230,8 @@
         peers_.SetSeeds(core_.settings.seeds);
       }) {
   lease_.SetTurn([this] {
-    // A process of this host that has ended left it: nobody else is waited for.
+    // The lease was left by an earlier process of this host, so there is no
+    // other candidate to wait for.
     const bool own = mirror_.Value(std::string(store::kLeaderKey)).has_value();
     std::uniform_real_distribution<double> distribution(0, 1);
     return own ? milliseconds(0)
@@ -268,7 +271,7 @@
     return tl::make_unexpected(callers.error());
   if (core_.settings.metrics_listen) {
     const auto metrics = metrics_.Start(*core_.settings.metrics_listen);
-    // Serving goes on without: callers come first.
+    // The host serves without metrics, because callers have priority.
     if (!metrics) {
       base::Log(kCategory, log_event::kListenFailed,
                 {{"reason", metrics.error().message}});
@@ -300,7 +303,8 @@
         limits.idle_timeout = newer.limits.idle_timeout;
         callers_.SetLimits(limits);
       };
-  // Whoever reads the store finds the others through the lease's holder.
+  // The lease holder is the seed by which hosts that read the store discover
+  // the others.
   callbacks.lease_holder_changed = [this](const base::endpoint& holder) {
     peers_.SetSeeds({holder});
   };
@@ -335,7 +339,7 @@
   return callbacks;
 }
 
-// Hosts that are not seen any more may still send.
+// Hosts that are no longer visible may still send requests.
 decisions::cold_share host::ColdShare() {
   max_hosts_ = std::max(max_hosts_, peers_.CountKnown());
   decisions::cold_share share;
@@ -346,7 +350,8 @@
 }
 
 bool host::IsReady() const {
-  // Callers are better off at a host that can tell whether their keys are good.
+  // If this host cannot tell which keys are valid, callers are better served by
+  // another one.
   return core_.configuration != nullptr && !shutdown_.stopping() &&
          !freshness_.IsStale();
 }
@@ -418,8 +423,8 @@
                          peer_link::scope::kZone, membership::kWideLink);
 }
 
-// The hosts that are chosen for a server are told at once what others send
-// there; where there are few hosts, these are all.
+// The hosts chosen for a server receive the load reports of the other hosts for
+// it at once. In a small fleet these are all hosts.
 bool host::ReceivesLoadAtOnce(const std::string& instance) {
   return peers_.IsChosen(instance, kMostTold, peer_link::scope::kAll);
 }
@@ -476,8 +481,8 @@
                            dialect protocol,
                            const store_factory& make_store,
                            settings_reader reload_settings) {
-  // Both live until the process ends: coroutines that a stop broke off still
-  // refer to them, and end with the event loop.
+  // Both live until the process exits: coroutines that are interrupted by a
+  // stop still refer to them, and are destroyed with the event loop.
   static asio::io_context context(1);
   static host one(context, std::move(settings), std::move(protocol), make_store,
                   std::move(reload_settings));
--- a/src/host/process/host.h
+++ b/src/host/process/host.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One host: serves callers, and takes part in placing models.
+// A host process: serves callers and takes part in the placement of models.
 #ifndef VALELEDGE_HOST_PROCESS_HOST_H_
 #define VALELEDGE_HOST_PROCESS_HOST_H_
 
@@ -16,16 +16,16 @@
 
 namespace valeledge::host {
 
-// Makes the client of the store on the host's event loop.
+// Creates the store client on the host's event loop.
 using store_factory = std::function<std::unique_ptr<store::kv_client>(
     boost::asio::io_context& context,
     const host_settings& settings)>;
 
-// Serves until SIGTERM or SIGINT, then stops gracefully within the settings'
-// grace: the balancer is told, what is under way ends, new requests are
-// answered for a few seconds more. SIGHUP has the settings read again: limits
-// and seeds are in force at once, addresses from the next start on. Returns an
-// error if it could not start.
+// Serves until SIGTERM or SIGINT and then stops gracefully within the
+// configured grace period: the load balancer is notified, requests in progress
+// finish, and new requests are accepted for a few more seconds. SIGHUP reloads
+// the settings: limits and seeds take effect at once, addresses at the next
+// start. Returns an error if the host could not start.
 base::result<void> RunHost(host_settings settings,
                            dialect protocol,
                            const store_factory& make_store,
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the requests of one host share. Lives on the host's thread.
+// State shared by all requests of one host. Must be used on the host's thread
+// only.
 #ifndef VALELEDGE_HOST_PROCESS_HOST_CORE_H_
 #define VALELEDGE_HOST_PROCESS_HOST_CORE_H_
 
@@ -41,7 +42,7 @@
         http(context) {}
 
   boost::asio::io_context& context;
-  // Now, when the host was made.
+  // Time at which this object was constructed.
   const base::time_point started = std::chrono::steady_clock::now();
   host_settings settings;
   const dialect protocol;
@@ -51,51 +52,51 @@
   demand_meter demand;
   net::http_client http;
   std::mt19937_64 random{std::random_device{}()};
-  // The configuration in force; null before the first one is known.
+  // The active configuration; null until the first one has been received.
   std::shared_ptr<const catalog::configuration> configuration;
-  // How old the certainty is with which this host knows which keys are good.
+  // How recent this host's knowledge of valid caller keys is.
   decisions::key_certainty freshness;
   retry_budgets retries{settings, metrics, started};
-  // Requests under which servers end.
+  // Requests under which backend servers crash.
   decisions::quarantine quarantine;
-  // A server has ended while a request of this host was there; tells the
-  // others.
+  // Publishes that a server crashed while a request of this host was in
+  // progress there.
   std::function<void(std::uint64_t digest, const decisions::server_end& end)>
       server_crashed;
-  // A request that was suspected has been answered whole; tells the others.
+  // Publishes that a suspected request has been responded to completely.
   std::function<void(std::uint64_t digest)> suspect_completed;
-  // Hosts that take requests, this one included.
+  // Number of hosts that accept requests, including this one.
   std::int64_t hosts = 1;
-  // Whether a newer copy of the store has been known of for long that has not
-  // come: what is not known here may exist.
+  // Whether a newer snapshot of the store has been known for long without being
+  // received. If so, an entry that is missing here may exist.
   std::function<bool()> is_stale = [] { return false; };
-  // Set once this host stops soon: what may last longer is refused.
+  // Set during a stop: requests that may last longer than this are refused.
   std::optional<base::time_point> stops_at;
-  // What this host has under way at a server has changed; tells the others.
+  // Publishes that this host's load on a server has changed.
   std::function<void(const known_server& server)> load_changed;
-  // Takes what a request counts from the limit of its workspace; the reason why
-  // it may not be sent.
+  // Charges the cost of a request to the limit of its workspace. Returns an
+  // error if the request may not be sent.
   std::function<boost::asio::awaitable<base::result<void>>(
       std::string workspace,
       double count)>
       acquire_limit;
-  // A request that was taken from a limit has not run, and never will.
+  // Refunds the cost of a request that did not run and never will.
   std::function<void(const std::string& workspace, double count)> release_limit;
-  // Waits for a place at a server of a plain service; nothing if this host
-  // chooses by itself. Unset: it always does.
+  // Waits for a slot at a server of a plain service. Returns null if this host
+  // selects the server itself. If unset, it always does.
   std::function<boost::asio::awaitable<
       base::result<std::shared_ptr<dealt_place>>>(place_request request)>
       acquire_slot;
-  // Asks for a permit to send one request to a server that advertises a limit;
-  // false if there is none now. Unset: there never is.
+  // Requests a permit to send one request to a server that advertises a limit.
+  // Returns false if none is available now. If unset, none ever is.
   std::function<boost::asio::awaitable<bool>(
       std::shared_ptr<known_server> server,
       std::int64_t priority)>
       acquire_permit;
-  // A response has changed what is known of a server's limit; tells the others.
+  // Publishes that a response has changed the known limit of a server.
   std::function<void(const known_server& server)> limit_changed;
-  // Has an adapter loaded by the holder of the lease; the instance that holds
-  // it then, or the reason why none does.
+  // Requests the lease holder to load an adapter. Returns the instance that has
+  // loaded it, or an error.
   std::function<boost::asio::awaitable<base::result<std::string>>(
       std::string service,
       std::string model,
--- a/src/host/process/key_freshness_monitor.cc
+++ b/src/host/process/key_freshness_monitor.cc
@@ -28,22 +28,22 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "keys";
 
-// How often a host asks; a question more or less this far apart keeps hosts
-// from asking together.
+// Interval of read requests. The random jitter prevents hosts from sending them
+// in step.
 constexpr milliseconds kReadRequestInterval{600};
 constexpr milliseconds kReadRequestJitter{100};
-// Where no keys are needed, this is looked at so often.
+// Interval at which the configuration is checked while it requires no keys.
 constexpr milliseconds kIdleCheckInterval{250};
 
-// Questions are gathered for so long: each reading has a price, a question has
-// next to none.
+// Read requests are batched over this time, since each store read has a price
+// and a request costs next to nothing.
 constexpr milliseconds kBatchWindow{400};
 
-// Without an answer for so long the next reader is asked too, and at last this
-// host reads for itself.
+// Without a response for this time the next reader is tried; after the
+// second one this host also reads the store itself.
 constexpr milliseconds kNextReaderTimeout{1100};
 constexpr milliseconds kOwnReadTimeout{2200};
-// After a reading that failed this host tries none of its own for so long.
+// Delay before this host reads the store again after a failed read.
 constexpr milliseconds kFailedReadPause{1000};
 
 decisions::boot_time FromMicroseconds(std::int64_t count) {
@@ -79,7 +79,8 @@
 
 void key_freshness_monitor::OnRevisionAdvanced() {
   decisions::NoteRevision(core_.freshness, callbacks_.revision());
-  // A host that has just got its first copy serves nobody until it is certain.
+  // A host that has just received its first snapshot serves no callers until
+  // its keys are fresh.
   if (RequiresKeys() && !has_requested_)
     RequestRead();
 }
@@ -128,10 +129,11 @@
   asio::co_spawn(core_.context, ReadStore(), asio::detached);
 }
 
-// One that is not answered does not keep the next from being sent: a store that
-// was silent answers nothing on connections from before.
+// A read without a response does not delay the next one: a store that was
+// unresponsive may never respond on connections opened before.
 asio::awaitable<void> key_freshness_monitor::ReadStore() {
-  // At once if this host knows nothing yet: nobody is served meanwhile.
+  // No batching while this host knows nothing yet, since it serves no callers
+  // meanwhile.
   if (core_.freshness.complete_as_of) {
     asio::steady_timer timer(core_.context, kBatchWindow);
     co_await timer.async_wait(kAwait);
--- a/src/host/process/key_freshness_monitor.h
+++ b/src/host/process/key_freshness_monitor.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
-// Keeps a host certain of which keys are good: it has the store read, several
-// times a second, by one host for all of them.
+// Keeps this host's knowledge of the valid caller keys fresh. One host reads
+// the store several times a second on behalf of all.
 //
-// A host asks a reader by a datagram with its own time; the reader reads one
-// small key some time later, for all who have asked by then, and tells each its
-// own time back with the store's revision. A datagram that is lost, late or
-// repeated makes nothing younger than it is. Without answers a host turns to
-// the next reader, and in the end reads for itself.
+// A host sends a read request with its own timestamp to a reader by datagram.
+// After a short time the reader reads one small key for all pending requests,
+// and returns to each host its timestamp with the store's revision. A lost,
+// late or duplicated datagram cannot make the knowledge appear more recent than
+// it is. If a reader does not respond, the host tries the next one, and finally
+// reads the store itself.
 #ifndef VALELEDGE_HOST_PROCESS_KEY_FRESHNESS_MONITOR_H_
 #define VALELEDGE_HOST_PROCESS_KEY_FRESHNESS_MONITOR_H_
 
@@ -28,22 +29,21 @@
 
 namespace valeledge::host {
 
-// Keys of the records in which a host asks for a reading, and in which it is
-// told of one.
+// Record keys of read requests and of the responses to them.
 inline constexpr std::string_view kReadRequestRecord = "reading_wanted";
 inline constexpr std::string_view kReadResponseRecord = "reading";
 
-// What the duty needs of the others; runs on the host's thread.
+// Dependencies on other components; called on the host's thread.
 struct key_freshness_callbacks {
-  // Tells one host a fact.
+  // Sends a record to one host.
   std::function<void(const base::endpoint& to,
                      std::string_view record,
                      std::string value)>
       send;
-  // Hosts that read for others, in the order in which they are asked; this one
-  // may be among them.
+  // Hosts that read on behalf of others, in the order of preference. May
+  // include this host.
   std::function<std::vector<base::endpoint>()> readers;
-  // The store's revision up to which everything is here.
+  // The revision up to which this host's mirror is complete.
   std::function<std::int64_t()> revision;
 };
 
@@ -55,32 +55,34 @@
 
   void Start();
 
-  // Another host asks for a reading, or tells of one.
+  // Handle a read request of another host, and the response to one of this
+  // host.
   void HandleReadRequest(const base::endpoint& requester,
                          const wire::store_reading& request);
   void HandleReadResponse(const wire::store_reading& response);
-  // More of the store is here than before.
+  // The mirror has reached a newer revision.
   void OnRevisionAdvanced();
-  // All that the store held when this host asked for it is here.
+  // The mirror contains everything that the store contained at `requested_at`.
   void OnMirrorComplete(decisions::boot_time requested_at);
 
-  // Whether keys are needed and this host cannot tell which are good.
+  // Whether keys are required and this host cannot tell which ones are valid.
   bool IsStale() const;
 
  private:
   struct read_request {
-    // Nothing: this host itself.
+    // Unset for a request of this host itself.
     std::optional<base::endpoint> requester;
     wire::store_reading request;
   };
 
   bool RequiresKeys() const;
   boost::asio::awaitable<void> Loop();
-  // Asks the readers whose turn it is.
+  // Sends a read request to the current reader, or to the next one if it did
+  // not respond.
   void RequestRead();
   wire::store_reading MakeReadRequest() const;
   void QueueRead(read_request request);
-  // Answers all questions that have come by the time it reads.
+  // Reads the store once for all requests that are pending by then.
   boost::asio::awaitable<void> ReadStore();
   void Respond(const std::vector<read_request>& requests,
                std::int64_t revision);
@@ -89,9 +91,9 @@
   host_core& core_;
   store::kv_client& store_;
   key_freshness_callbacks callbacks_;
-  // Tells this process from others at the same address.
+  // Distinguishes this process from other processes at the same address.
   std::int64_t process_id_ = 0;
-  // Among the readers, the one that answered last.
+  // Index of the current reader.
   std::size_t reader_index_ = 0;
   decisions::boot_time last_response_at_;
   std::vector<read_request> pending_;
--- a/src/host/process/limit_updates.cc
+++ b/src/host/process/limit_updates.cc
@@ -17,13 +17,13 @@
 constexpr std::string_view kCategory = "limits";
 constexpr std::string_view kCounter = "valeledge_server_limits_total";
 
-// Thousandths of a request a second.
+// Converts a rate to thousandths of a request per second.
 std::int64_t MilliRequestsPerSecond(double rate) {
   constexpr double kMaxRate = 1e15;
   return std::llround(std::fmin(rate * 1000, kMaxRate));
 }
 
-// `told`: by another host.
+// `from_peer`: the change was reported by another host.
 void LogChange(host_core& core,
                const known_server& server,
                limit_change change,
@@ -61,14 +61,14 @@
                         known_server& server,
                         const answer_head& response,
                         base::time_point sent) {
-  // Another instance may have the address by now.
+  // The address may belong to another instance by now.
   if (response.misdirected)
     return;
   if (response.limit_unreadable) {
     RecordUnreadable(core, server);
     return;
   }
-  // Refusals of a busy server need not carry the field.
+  // Refusals of a busy server may lack the limit field.
   if (!response.limit && response.not_run)
     return;
   const decisions::limit_observation observation{
--- a/src/host/process/limit_updates.h
+++ b/src/host/process/limit_updates.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Takes in the rate limits that backend servers advertise, as responses or
-// other hosts tell them; each change is logged and counted.
+// Applies the rate limits that backend servers advertise, from responses and
+// from reports of other hosts. Each change is logged and counted.
 #ifndef VALELEDGE_HOST_PROCESS_LIMIT_UPDATES_H_
 #define VALELEDGE_HOST_PROCESS_LIMIT_UPDATES_H_
 
@@ -10,14 +10,14 @@
 
 namespace valeledge::host {
 
-// One response, whose request was sent at `sent` and whose head has just been
-// received.
+// Applies the limit in a response whose header has just been received; its
+// request was sent at `sent`.
 void ApplyResponseLimit(host_core& core,
                         known_server& server,
                         const answer_head& response,
                         base::time_point sent);
 
-// What another host knows of a server.
+// Applies another host's report about a server.
 void MergeReportedLimit(host_core& core,
                         known_server& server,
                         const decisions::limit_report& report);
--- a/src/host/process/owner_services.cc
+++ b/src/host/process/owner_services.cc
@@ -10,12 +10,13 @@
 
 namespace asio = boost::asio;
 
-// Subjects by which the host is chosen; the name of the workspace, or of the
-// service, follows.
+// Subjects for choosing the owner host, followed by the name of the workspace
+// or service.
 constexpr std::string_view kLimitSubject = "limit/";
 constexpr std::string_view kSlotSubject = "places/";
 
-// Asked for each request, a host should have more to spend than others.
+// The owner is called for each request, so a host with a wide link is
+// preferred.
 constexpr std::int32_t kPreferredRoles = membership::kWideLink;
 
 }  // namespace
--- a/src/host/process/owner_services.h
+++ b/src/host/process/owner_services.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What one host, chosen among all, does for the others: it owns the limits of
-// some workspaces, and deals out the places of some plain services.
+// Services that one host, chosen from the whole fleet, provides to the others:
+// it owns the limits of some workspaces and allocates the slots of some plain
+// services.
 #ifndef VALELEDGE_HOST_PROCESS_OWNER_SERVICES_H_
 #define VALELEDGE_HOST_PROCESS_OWNER_SERVICES_H_
 
@@ -8,27 +9,27 @@
 
 #include "base/duration.h"
 #include "host/process/host_core.h"
-#include "host/process/workspace_limit_service.h"
 #include "host/process/peer_link.h"
 #include "host/process/place_duty.h"
+#include "host/process/workspace_limit_service.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::host {
 
 class owner_services {
  public:
-  // Both must outlive the duties. Requests of this host use them through the
-  // core from now on.
+  // `core` and `peers` must outlive this object. The constructor installs the
+  // services in the core for this host's own requests.
   owner_services(host_core& core, peer_link& peers);
 
-  // Another host was not known before.
+  // A host that was not known before has joined.
   void OnMemberJoined();
-  // Call several times a second.
+  // Must be called several times a second.
   void Tick(base::time_point now);
 
-  // Whether a call of another host is for these duties.
+  // Whether a call of another host is for these services.
   static bool Handles(const wire::envelope& call);
-  // The reply to such a call.
+  // Returns the reply to such a call.
   boost::asio::awaitable<wire::envelope> HandleCall(wire::envelope call);
 
  private:
--- a/src/host/process/peer_link.cc
+++ b/src/host/process/peer_link.cc
@@ -24,17 +24,17 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// 50 Mbit/s: the largest value of the store, 1 MB, 1.4 MB in base64, comes in
-// within a quarter of a second.
+// 50 Mbit/s: the largest value of the store, 1 MB (1.4 MB in base64), is
+// received within a quarter of a second.
 constexpr double kWideLinkBytes = 50e6 / 8;
 
-// Datagrams of membership itself, among those of other kinds.
+// Kind under which the datagrams of the membership protocol are counted.
 constexpr std::string_view kMembershipKind = "membership";
 
 constexpr std::size_t kAllHosts = std::numeric_limits<std::size_t>::max();
 
-// Hosts of each availability zone that hand news on to the others of it: two,
-// since one may have ended.
+// Relays in each availability zone, which forward updates to the other hosts of
+// the zone. Two of them tolerate the failure of one.
 constexpr std::string_view kRelaySubject = "relay/placed";
 constexpr std::size_t kRelaysPerZone = 2;
 
@@ -45,7 +45,7 @@
   return roles;
 }
 
-// What a datagram is counted as.
+// The kind under which a datagram is counted.
 std::string KindOf(const wire::gossip_message& message) {
   const bool direct = message.kind == static_cast<std::int32_t>(
                                           membership::gossip_kind::kDirect);
@@ -55,7 +55,7 @@
 
 membership::gossip_state MakeGossip(const host_settings& settings) {
   membership::gossip_settings times;
-  // What a dead host owned should find another owner soon.
+  // Short, so that responsibilities of a dead host move to another one soon.
   times.suspect_timeout = std::chrono::seconds(2);
   std::vector<base::endpoint> seeds = settings.seeds;
   std::erase(seeds, settings.peer_listen);
@@ -208,7 +208,7 @@
 std::optional<base::endpoint> peer_link::FirstHealthy(
     const std::string& subject,
     std::int32_t preferred_roles) {
-  // More of them than this are hardly doubted at a time.
+  // More hosts than this are rarely suspected at the same time.
   constexpr std::size_t kMaxCandidates = 4;
   const auto alive =
       static_cast<std::int32_t>(membership::member_health::kAlive);
--- a/src/host/process/peer_link.h
+++ b/src/host/process/peer_link.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// This host among the others: who is there, what they have under way, and
-// calls between them.
+// Connects this host with the others: membership, published records and remote
+// calls.
 #ifndef VALELEDGE_HOST_PROCESS_PEER_LINK_H_
 #define VALELEDGE_HOST_PROCESS_PEER_LINK_H_
 
@@ -28,16 +28,16 @@
 
 namespace valeledge::host {
 
-// What the owner of the link wants to know; runs on the host's thread.
+// Event handlers of the link's owner; called on the host's thread.
 struct peer_events {
-  // Another host told this one a fact directly.
+  // A record was received directly from another host.
   std::function<void(const membership::direct_record& record)> record_received;
-  // A member came, left or changed its health.
+  // A member joined, left or changed its health.
   std::function<void()> members_changed;
-  // A host that was not known before takes requests.
+  // A host that was not known before accepts requests.
   std::function<void()> host_joined;
-  // This peer's copy of the store is newer than ours; whether it is of this
-  // host's availability zone.
+  // A peer has a newer snapshot of the store. `same_zone`: it is in this host's
+  // availability zone.
   std::function<void(const base::endpoint& peer, bool same_zone)>
       newer_snapshot;
   net::rpc_handler call;
@@ -52,73 +52,75 @@
 
   base::result<void> Start();
 
-  // Tells a fact of this host to others.
+  // Sends a record of this host to the recipients.
   void Send(const std::string& key,
             std::string value,
             const membership::direct_audience& recipients);
-  // Tells a fact to all other hosts: where there are many, to those of this
-  // availability zone, and to some of each other zone, which hand it on.
-  // `encode`: the value for those that hand it on, or for all others.
+  // Sends a record to all other hosts. In a large fleet it is sent to the hosts
+  // of this availability zone and to some relays in each other zone, which
+  // forward it. `encode` returns the value for the relays if `hand_on`,
+  // otherwise the value for all other hosts.
   void Broadcast(const std::string& key,
                  const std::function<std::string(bool hand_on)>& encode);
-  // Tells a fact to all other hosts of this availability zone.
+  // Sends a record to all other hosts of this availability zone.
   void BroadcastInZone(const std::string& key, std::string value);
-  // Whether this host is one of the `count` that are chosen for a subject,
-  // among those of its availability zone or all; among those with the roles in
-  // `prefers`, if there are any.
+  // Whether this host is among the `count` hosts chosen for a subject, within
+  // its availability zone or the whole fleet. Hosts with the preferred roles
+  // are chosen from if there are any.
   enum class scope { kZone, kAll };
   bool IsChosen(const std::string& subject,
                 std::size_t count,
                 scope among,
                 std::int32_t preferred_roles = 0);
-  // Addresses of those that are chosen for a subject among all, best first;
-  // this host's own may be one.
+  // Addresses of the hosts chosen for a subject from the whole fleet, best
+  // first; may include this host's own.
   std::vector<base::endpoint> ChosenAddresses(const std::string& subject,
                                               std::size_t count,
                                               std::int32_t preferred_roles = 0);
-  // The address of the first that is chosen for a subject and that nobody takes
-  // for dead or doubts; nothing if there is none.
+  // Address of the first host chosen for a subject that is neither suspected
+  // nor dead. Returns nothing if there is none.
   std::optional<base::endpoint> FirstHealthy(const std::string& subject,
                                              std::int32_t preferred_roles);
-  // A host did not answer in time, and is looked at next.
+  // Probes a host next, because it did not respond in time.
   void Suspect(const base::endpoint& where);
   void AnnounceLeaving();
-  // This host's copy of the store has this revision.
+  // Publishes the revision of this host's mirror.
   void AnnounceRevision(std::int64_t revision);
 
-  // Asks peers at these addresses too when looking for others.
+  // Sets additional addresses that are contacted to discover other hosts.
   void SetSeeds(const std::vector<base::endpoint>& seeds);
 
   bool KnowsOthers() const { return !gossip_.others.empty(); }
-  // Hosts that take requests, this one included.
+  // Number of hosts that accept requests, including this one.
   std::int64_t CountServing() const;
-  // Hosts that have been known lately, but for those that left by themselves;
-  // and those that take requests as a part of them.
+  // CountKnown is the number of recently known hosts, without those that left
+  // by themselves. VisibleFraction is the fraction of them that accepts
+  // requests.
   std::int64_t CountKnown() const;
   double VisibleFraction() const;
-  // Whether nobody who has not left is suspected or dead.
+  // Whether no host is suspected or dead, apart from those that have left.
   bool AreAllHealthy() const;
-  // Names of hosts that were found dead since the last call.
+  // Returns the names of the hosts found dead since the last call.
   std::vector<std::string> TakeDeadHosts();
 
   boost::asio::awaitable<base::result<wire::envelope>> Call(
       base::endpoint where,
       wire::envelope call,
       std::chrono::microseconds timeout);
-  // Asks for a copy of the store, on a connection of its own: short calls do
-  // not wait behind it, and what is left of one that is given up is not
-  // carried.
+  // Requests a snapshot of the store on a separate connection, so that short
+  // calls do not queue behind it and closing the connection cancels the rest of
+  // an abandoned transfer.
   boost::asio::awaitable<base::result<wire::envelope>> CallForSnapshot(
       base::endpoint where,
       wire::envelope call,
       net::reply_limit limit);
-  // The copy that a peer was asked for is not wanted any more.
+  // Cancels a requested snapshot.
   void CancelSnapshot(const base::endpoint& where);
-  // Bytes of replies that wait to be sent to other hosts.
+  // Size of the replies that are queued for other hosts.
   std::int64_t QueuedBytes() const { return calls_.queued_bytes(); }
 
   std::int64_t bytes() const;
-  // Bytes of datagrams sent so far, by the kind of what they tell.
+  // Size of the datagrams sent so far, by record key.
   const std::map<std::string, std::int64_t>& sent_bytes() const {
     return sent_bytes_;
   }
--- a/src/host/process/quarantine_coordinator.cc
+++ b/src/host/process/quarantine_coordinator.cc
@@ -30,22 +30,22 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "quarantine";
 
-// What a host has seen of requests that more than one server has ended under is
-// told for so long: datagrams get lost, and others are cut off, frozen or
-// starting. Told of all requests that were at an end, this would be up to 40
-// KB a second from each host.
+// Time for which a host repeats its observations about requests under which
+// more than one server has crashed: datagrams get lost, and hosts may be
+// disconnected, suspended or starting. Repeating those of all requests that
+// were in progress at a crash would take up to 40 KB a second from each host.
 constexpr std::chrono::seconds kRepublishPeriod{10};
-// Requests share so many subjects, by which those who hear of their ends are
-// chosen: enough that no host hears of most, and few enough to be remembered.
+// Number of subjects by which the recipients of crash reports are chosen: large
+// enough that no host receives most reports, and small enough to cache.
 constexpr std::uint64_t kSubjectCount = 64;
 
-// Hosts that are not the first chosen write a hold if they have not seen it in
-// the store after this time, and up to as long again: the first one may be
-// slow, cut off or dead, and hosts that hear of ends from nobody have three
-// seconds in all. Its own write is mostly seen by then; one too many costs a
-// call.
+// A host that is not the first one chosen writes a quarantine key if it has not
+// seen it in the store after this delay, plus a random part of up to the same
+// length. The first host may be slow, disconnected or dead, and hosts that
+// receive no reports must learn of a quarantine within three seconds. By then
+// its own write is usually visible; a redundant one costs a single call.
 constexpr milliseconds kFallbackWriteDelay{700};
-// After a call to the store that failed.
+// Delay after a failed call to the store.
 constexpr milliseconds kWriteRetryDelay{500};
 
 std::string SubjectOf(std::uint64_t digest) {
@@ -56,7 +56,7 @@
   return std::string(store::kHeldPrefix) + base::HexText(digest);
 }
 
-// The digest in a key; nothing if the key is of something else.
+// Returns the digest in a quarantine key, or nothing for other keys.
 std::optional<std::uint64_t> ParseDigest(std::string_view key) {
   if (!key.starts_with(store::kHeldPrefix))
     return std::nullopt;
@@ -153,7 +153,7 @@
   return true;
 }
 
-// Has the store say that a request is held back.
+// Writes the quarantine key to the store.
 asio::awaitable<void> quarantine_coordinator::StoreQuarantine(
     std::uint64_t digest) {
   asio::steady_timer timer(core_.context);
@@ -187,8 +187,8 @@
   const auto written = co_await store_.Run(std::move(write));
   if (written && written->succeeded)
     co_return true;
-  // Another host was first, or the answer got lost: then the key is there for
-  // as long as the lease is.
+  // Another host wrote the key first, or the response to this host's own write
+  // was lost. In the latter case the key exists for as long as the lease.
   if (written)
     co_await store_.RevokeLease(*lease);
   co_return written.has_value();
--- a/src/host/process/quarantine_coordinator.h
+++ b/src/host/process/quarantine_coordinator.h
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: MIT
-// Shares between hosts which requests servers end under, and keeps in the store
-// which are held back.
+// Shares between hosts under which requests backend servers crash, and stores
+// in the key-value store which requests are quarantined.
 //
-// Hosts tell each other of each end at once, and again for some seconds once a
-// second server has ended under the request: in a fleet of up to 17 hosts all
-// hear all. In larger ones the same 16 hear of all
-// ends under one request, and what they find is known to the others, and to
-// hosts that start later, by a key in the store. While the store is away, those
-// who have heard act all the same.
+// Hosts publish each crash at once, and repeat it for some seconds once a
+// second server has crashed under the same request. In a fleet of up to 17
+// hosts every host receives every report. In a larger fleet the reports about
+// one request go to the same 16 hosts; the other hosts, and hosts that start
+// later, learn of a quarantine through a key in the store. While the store is
+// unavailable, the hosts that received the reports apply the quarantine without
+// it.
 #ifndef VALELEDGE_HOST_PROCESS_QUARANTINE_COORDINATOR_H_
 #define VALELEDGE_HOST_PROCESS_QUARANTINE_COORDINATOR_H_
 
@@ -27,16 +28,16 @@
 
 namespace valeledge::host {
 
-// Key of the record in which a host tells of ends.
+// Key of the record in which a host reports crashes.
 inline constexpr std::string_view kCrashesRecord = "ends";
 
-// What the duty needs of the others; runs on the host's thread.
+// Dependencies on other components; called on the host's thread.
 struct quarantine_callbacks {
-  // Tells other hosts directly.
+  // Sends an update directly to other hosts.
   std::function<void(const std::string& value,
                      const membership::direct_audience& recipients)>
       send;
-  // Whether this host is the first of those that are chosen for a subject.
+  // Whether this host is the first one chosen for a subject.
   std::function<bool(const std::string& subject)> is_first;
 };
 
@@ -46,20 +47,21 @@
                          store::kv_client& store,
                          quarantine_callbacks callbacks);
 
-  // A server has ended while a request of this host was there.
+  // A server crashed while a request of this host was in progress there.
   void OnServerCrash(std::uint64_t digest, const decisions::server_end& end);
-  // A server has answered a request of this host whole.
+  // A server has responded completely to a request of this host.
   void OnCompletedResponse(std::uint64_t digest);
 
-  // Takes in what another host tells.
+  // Applies an update of another host.
   void HandleUpdate(const wire::end_news& update);
-  // What the store says of a key; true if it is one of a request that is held
-  // back. `lapsed`: the store has been in trouble, and the hold goes on.
+  // Handle a key that was put into or removed from the store. Return whether it
+  // is the key of a quarantined request. `lapsed`: the store has been
+  // unavailable, so the quarantine continues.
   bool PutKey(std::string_view key);
   bool RemoveKey(std::string_view key, bool lapsed);
 
-  // Tells again what was told lately of requests that are suspected more than
-  // others. Call every quarter of a second.
+  // Repeats recent updates about requests under which more than one server has
+  // crashed. Must be called every quarter of a second.
   void Republish();
 
  private:
@@ -71,9 +73,9 @@
   host_core& core_;
   store::kv_client& store_;
   quarantine_callbacks callbacks_;
-  // What this host has seen lately.
+  // Recent observations of this host.
   decisions::quarantine_facts published_;
-  // Requests that the store says are held back.
+  // Requests that are quarantined according to the store.
   std::set<std::uint64_t> stored_;
 };
 
--- a/src/host/process/request_log.h
+++ b/src/host/process/request_log.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// One log line for each decision about a request, bounded a second.
+// Logs decisions about requests, one line each, with a bounded number of lines
+// per second.
 #ifndef VALELEDGE_HOST_PROCESS_REQUEST_LOG_H_
 #define VALELEDGE_HOST_PROCESS_REQUEST_LOG_H_
 
@@ -22,7 +23,7 @@
              std::string_view request,
              std::initializer_list<base::log_field> fields);
 
-  // Says how many lines were left out since the last call, if any were.
+  // Logs the number of lines omitted since the last call, if any.
   void LogOmittedLines();
 
  private:
--- a/src/host/process/retry_budgets.h
+++ b/src/host/process/retry_budgets.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Retry budgets of this host, one for each service.
+// Retry budgets of this host, one per service.
 #ifndef VALELEDGE_HOST_PROCESS_RETRY_BUDGETS_H_
 #define VALELEDGE_HOST_PROCESS_RETRY_BUDGETS_H_
 
@@ -15,26 +15,27 @@
 
 class retry_budgets {
  public:
-  // `started`: when this process started.
+  // `started`: the start time of this process.
   retry_budgets(const host_settings& settings,
                 base::metrics& metrics,
                 base::time_point started);
 
-  // Counts a caller's request for a service.
+  // Counts a caller's request to a service.
   void RecordRequest(const std::string& service, base::time_point now);
 
-  // Takes one retry from the budget of a service; false if it is exhausted.
+  // Takes one retry from the budget of a service. Returns false if it is
+  // exhausted.
   bool TryAcquire(const std::string& service, base::time_point now);
 
-  // Whether the budget of a service allows a retry now.
+  // Whether the budget of a service currently allows a retry.
   bool MayRetry(const std::string& service, base::time_point now);
 
-  // Counts an attempt after one that never reached a backend server: it needs
-  // no budget.
+  // Counts a retry that needs no budget, since the previous attempt never
+  // reached a backend server.
   void RecordFreeAttempt(const std::string& service);
 
-  // Logs the use of each budget since the last call that did; at most once a
-  // second. Call several times a second.
+  // Logs the use of each budget since the last log line, at most once a second.
+  // Must be called several times a second.
   void LogUsage(std::int64_t hosts, base::time_point now);
 
  private:
--- a/src/host/process/server_limits.cc
+++ b/src/host/process/server_limits.cc
@@ -20,26 +20,27 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// A holder that is well replies within a few milliseconds.
+// A responsive lease holder replies within a few milliseconds.
 constexpr milliseconds kHolderTimeout{150};
 
-// A permit that came later is not used: what hosts have of permits when the
-// holder changes is bounded by it.
+// Permits received later than this are discarded, which bounds the number of
+// valid permits when the lease holder changes.
 constexpr milliseconds kMaxPermitAge{300};
 
-// Without a holder a limited server is looked at again after so long.
+// Delay until a limited server is tried again without a lease holder.
 constexpr milliseconds kNoHolderRetryAfter{250};
 
-// The holder repeats its news so often, for hosts that missed it.
+// The lease holder repeats its update at this interval for hosts that missed
+// it.
 constexpr milliseconds kPublishInterval{1000};
 
-// A withdrawn limit stays in the news for so long.
+// A withdrawn limit is published for this time.
 constexpr milliseconds kWithdrawnPublishPeriod{3000};
 
-// Servers in one datagram of news.
+// Limits the size of an update to one datagram.
 constexpr std::size_t kMaxServersPerUpdate = 50;
 
-// A limit that has refused a request binds for so long.
+// A limit counts as binding for this time after it has refused a request.
 constexpr milliseconds kBindingPeriod{5000};
 
 enum class permit_verdict : std::int32_t {
@@ -227,7 +228,8 @@
     co_return;
   wire::envelope call;
   call.__set_limit_changed(changed);
-  // A lost report is made up for by the next request for a permit.
+  // A lost report is compensated for by the next permit request, which carries
+  // the limit.
   co_await callbacks_.call(*holder, std::move(call), kHolderTimeout);
 }
 
--- a/src/host/process/server_limits.h
+++ b/src/host/process/server_limits.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Keeps the rate limits that backend servers advertise over all hosts: asks the
-// holder of the lease for each request to such a server, and grants permits
-// while this host is the holder.
+// Enforces the rate limits that backend servers advertise across all hosts:
+// requests a permit from the lease holder for each request to such a server,
+// and grants permits while this host is the lease holder.
 #ifndef VALELEDGE_HOST_PROCESS_SERVER_LIMITS_H_
 #define VALELEDGE_HOST_PROCESS_SERVER_LIMITS_H_
 
@@ -23,44 +23,44 @@
 
 namespace valeledge::host {
 
-// Key of the record in which the holder tells which servers are limited.
+// Key of the record in which the lease holder publishes the limited servers.
 inline constexpr std::string_view kLimitsRecord = "limits";
 
-// What the limits need of the rest of the host; runs on the host's thread.
+// Dependencies on other components; called on the host's thread.
 struct server_limit_callbacks {
-  // The term in which this host certainly holds the lease, 0 if it does not.
+  // The term in which this host definitely holds the lease; 0 if it does not.
   std::function<std::int64_t()> term;
-  // The holder of the lease, as far as is known.
+  // The lease holder, if known.
   std::function<std::optional<base::endpoint>()> holder;
   std::function<boost::asio::awaitable<base::result<wire::envelope>>(
       base::endpoint where,
       wire::envelope call,
       std::chrono::microseconds timeout)>
       call;
-  // Sends news to all other hosts, or to those of this availability zone.
+  // Sends an update to all other hosts, or to those of this availability zone.
   std::function<void(wire::limit_news update)> broadcast;
   std::function<void(const wire::limit_news& update)> broadcast_in_zone;
 };
 
 class server_limits {
  public:
-  // Requests of the host use the limits through the core from now on.
+  // The constructor installs the limits in the core for the host's requests.
   server_limits(host_core& core, server_limit_callbacks callbacks);
 
   // Whether one request may be sent to a server that advertises a limit. If
-  // not, the server says until when it is closed to requests.
+  // not, the server's `closed_until` tells until when it receives no requests.
   boost::asio::awaitable<bool> Acquire(std::shared_ptr<known_server> server,
                                        std::int64_t priority);
 
-  // Another host asks for a permit.
+  // Handles another host's request for a permit.
   wire::permit_reply Grant(const wire::permit_request& request);
-  // Another host has seen a change of a limit.
+  // Handles a change of a limit that another host has observed.
   void HandleLimitChange(const wire::server_limit& changed);
-  // The holder of the lease tells which servers are limited.
+  // Handles the lease holder's update about limited servers.
   void HandleUpdate(wire::limit_news update);
 
-  // Drops what this host no longer grants, and publishes the limits. Call
-  // several times a second.
+  // Discards limiters that are no longer needed and publishes the limits. Must
+  // be called several times a second.
   void Tick(base::time_point now);
 
  private:
@@ -75,12 +75,14 @@
 
   host_core& core_;
   server_limit_callbacks callbacks_;
-  // Limits that this host grants permits of, by instance, and in which term.
+  // Limiters of the servers for which this host grants permits, by instance,
+  // and the term they belong to.
   std::map<std::string, decisions::server_limiter, std::less<>> limiters_;
   std::int64_t term_ = 0;
   base::time_point published_;
   bool changed_ = false;
-  // The holder did not reply, and is left alone until then.
+  // No requests are sent to the lease holder until then, since it did not
+  // reply.
   base::time_point holder_unresponsive_until_;
 };
 
--- a/src/host/process/settings_reloader.cc
+++ b/src/host/process/settings_reloader.cc
@@ -44,7 +44,7 @@
 
 void settings_reloader::Start() {
   asio::co_spawn(core_.context, Loop(), asio::detached);
-  // One that was held back comes now.
+  // A signal that was blocked is delivered now.
   SetReloadSignalMask(SIG_UNBLOCK);
 }
 
@@ -64,8 +64,8 @@
               {{"reason", newer.error().message}});
     return;
   }
-  // What is listened on, and the names under which others know this host,
-  // stay until the next start.
+  // Listening addresses, the store, and the name and zone by which other hosts
+  // know this one are kept until the next start.
   newer->name = core_.settings.name;
   newer->zone = core_.settings.zone;
   newer->caller_listen = core_.settings.caller_listen;
--- a/src/host/process/settings_reloader.h
+++ b/src/host/process/settings_reloader.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Reading the settings again when SIGHUP says that they have changed.
+// Reloads the settings on SIGHUP.
 #ifndef VALELEDGE_HOST_PROCESS_SETTINGS_RELOADER_H_
 #define VALELEDGE_HOST_PROCESS_SETTINGS_RELOADER_H_
 
@@ -12,17 +12,16 @@
 
 namespace valeledge::host {
 
-// Reads the settings again.
 using settings_reader = std::function<base::result<host_settings>()>;
 
-// Holds SIGHUP back, which would end the process, until a settings_reloader
-// waits for it. To be called before the settings are read for the first time,
+// Blocks SIGHUP, which would terminate the process, until a settings_reloader
+// waits for it. Must be called before the settings are read for the first time,
 // and before other threads start.
 void BlockReloadSignal();
 
 class settings_reloader {
  public:
-  // `changed` runs after newer settings are in force.
+  // `on_reloaded` is called after newer settings have taken effect.
   settings_reloader(host_core& core,
                     settings_reader read,
                     std::function<void()> on_reloaded);
--- a/src/host/process/shutdown_controller.cc
+++ b/src/host/process/shutdown_controller.cc
@@ -24,13 +24,13 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "host";
 
-// After SIGTERM the balancer needs two looks, a second apart, to send no new
-// connections; callers then still use the ones they have.
-// What comes later than 3 s must not be broken off, so what may last too long
-// is refused a little sooner.
+// After SIGTERM the load balancer needs two health checks, a second apart, to
+// stop sending new connections; callers continue to use existing ones. Requests
+// that start later than 3 s after SIGTERM must not be interrupted, so requests
+// that may last too long are refused slightly earlier.
 constexpr milliseconds kAcceptAllPeriod{2700};
 constexpr milliseconds kAcceptPeriod{4200};
-// What is still under way so long before SIGKILL is broken off.
+// Requests still in progress at this time before SIGKILL are interrupted.
 constexpr milliseconds kKillMargin{400};
 
 constexpr milliseconds kStopCheckInterval{50};
--- a/src/host/process/shutdown_controller.h
+++ b/src/host/process/shutdown_controller.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The graceful stop of a host: others are told, what is under way ends, and new
-// requests are answered while callers still come.
+// Stops a host gracefully: notifies other hosts, finishes requests in progress,
+// and accepts new requests while callers still send them.
 #ifndef VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
 #define VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
 
@@ -16,14 +16,15 @@
 
 class shutdown_controller {
  public:
-  // `begun` runs once, when the stop has begun. The event loop ends with it.
+  // `on_started` is called once, when the stop begins. The event loop is
+  // stopped at its end.
   shutdown_controller(host_core& core,
                       net::http_server& callers,
                       std::function<void()> on_started);
 
-  // Waits for SIGTERM or SIGINT from now on.
+  // Starts waiting for SIGTERM and SIGINT.
   void Start();
-  // Whether this host stops: it takes no duties any more.
+  // Whether this host is stopping and must not take on responsibilities.
   bool stopping() const { return stopping_; }
 
  private:
--- a/src/host/process/snapshot_service.cc
+++ b/src/host/process/snapshot_service.cc
@@ -23,11 +23,11 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "copies";
 
-// After a copy of the store the next is asked for no sooner.
+// Minimum delay after a fetch before the same peer is contacted again.
 constexpr milliseconds kFetchInterval{30};
 
-// Copies that take less have no line in the log: small ones may come every
-// 30 ms.
+// Faster fetches are not logged, since small snapshots may be received every 30
+// ms.
 constexpr milliseconds kMinLoggedDuration{200};
 
 }  // namespace
@@ -56,7 +56,7 @@
 void snapshot_service::OnNewerSnapshot(const base::endpoint& peer,
                                        bool same_zone) {
   const auto now = std::chrono::steady_clock::now();
-  // Without any copy there is no time to be choosy.
+  // A host without any snapshot fetches from any zone at once.
   const bool fetch_at_once = same_zone || mirror_.revision() == 0;
   if (!mirror_.NeedsSnapshot() ||
       !decisions::BeginFetch(fetches_, peer, fetch_at_once, now)) {
@@ -90,8 +90,8 @@
   request.__set_takes_packed(true);
   request.__set_takes_packed_copy(true);
   call.__set_mirror_wanted(request);
-  // A named one: the compiler (GCC 12) destroys a temporary function twice that
-  // is made within an awaited call.
+  // A named variable, since GCC 12 destroys a temporary function object twice
+  // if it is created within an awaited call.
   net::reply_limit limit = [this, peer](const net::reply_progress& progress) {
     decisions::NoteBytes(fetches_, peer, progress.bytes, progress.heard);
     return decisions::GiveUpAt(fetches_, peer);
@@ -101,7 +101,7 @@
   const fetch_result result = ApplyReply(request.since, reply);
   LogResult(peer, request.since, result, reply);
   if (result == fetch_result::kApplied) {
-    // Also if it is no newer than what has come meanwhile.
+    // Also if the snapshot is no newer than one received meanwhile.
     decisions::NoteCopy(fetches_);
     CancelOtherFetches(peer);
   }
--- a/src/host/process/snapshot_service.h
+++ b/src/host/process/snapshot_service.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Fetches newer copies of the store from peers for hosts that do not follow it
-// themselves, and gives them to others.
+// Fetches newer snapshots of the store from peers if this host does not follow
+// the store itself, and serves snapshots to peers.
 #ifndef VALELEDGE_HOST_PROCESS_SNAPSHOT_SERVICE_H_
 #define VALELEDGE_HOST_PROCESS_SNAPSHOT_SERVICE_H_
 
@@ -22,36 +22,37 @@
  public:
   snapshot_service(host_core& core, store_mirror& mirror, peer_link& peers);
 
-  // A peer, of this host's availability zone or not, has a newer copy.
+  // A peer has announced a newer snapshot. `same_zone`: it is in this host's
+  // availability zone.
   void OnNewerSnapshot(const base::endpoint& peer, bool same_zone);
-  // This host has something newer than before, from a peer or the store.
+  // The mirror has reached a newer revision, from a peer or the store.
   void OnRevisionAdvanced() { decisions::NoteCopy(fetches_); }
-  // How long a newer copy has been known of that has not come.
+  // For how long a newer snapshot has been known without being received.
   std::chrono::milliseconds StaleFor() const;
-  // The reply to a peer that asks for this host's copy; tells it to ask another
-  // if too much waits to be sent already.
+  // Returns a snapshot, or a refusal if too much data is already queued for
+  // peers; the peer then tries another host.
   wire::envelope HandleRequest(const wire::mirror_request& request);
 
  private:
   boost::asio::awaitable<void> Fetch(base::endpoint peer);
-  // How a fetch ends.
+  // Result of a fetch.
   enum class fetch_result {
     kApplied,
-    // The peer has too much to send.
+    // The peer has too much data queued.
     kBusy,
-    // Another peer's copy came first.
+    // A snapshot of another peer was received first.
     kUnneeded,
-    // The peer's copy cannot be read.
+    // The snapshot cannot be decoded.
     kInvalid,
     kAbandoned,
   };
   static std::string MetricLabel(fetch_result result);
-  // Takes in the reply to a call for what had changed since a revision.
+  // Applies the reply to a request for the changes since a revision.
   fetch_result ApplyReply(std::int64_t since,
                           const base::result<wire::envelope>& reply);
-  // Ends what other peers were asked for, since one has given its copy.
+  // Cancels the other fetches after `source` has sent its snapshot.
   void CancelOtherFetches(const base::endpoint& source);
-  // Logs and counts how the fetch from a peer has ended.
+  // Logs and counts the result of a fetch.
   void LogResult(const base::endpoint& peer,
                  std::int64_t since,
                  fetch_result result,
--- a/src/host/process/store_mirror.cc
+++ b/src/host/process/store_mirror.cc
@@ -27,62 +27,64 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "mirror";
 
-// Without an answer of the store to anybody for so long, a host reads for
-// itself: changes must be in force everywhere within two seconds.
+// Without a store response to any host for this time, a host reads the store
+// itself: changes must take effect at all hosts within two seconds.
 constexpr std::chrono::milliseconds kTakeoverTimeout{1100};
 
-// From an answer until the hosts of its availability zone have heard of it: the
-// next report of the host that follows the store, and its way.
+// Maximum delay until the hosts of the availability zone know of a response:
+// the next report of the host that follows the store, and its transmission.
 constexpr std::chrono::milliseconds kMaxReportDelay =
     kLoadInterval + std::chrono::milliseconds(200);
 
-// One watch waits so long where nothing changes: that the store has answered is
-// what the others go by.
+// Maximum duration of a watch without changes. Its response shows the other
+// hosts that the store is available.
 constexpr std::chrono::milliseconds kMaxWatchTime =
     kTakeoverTimeout - kMaxReportDelay;
 
-// So much later at the most, so that not all hosts read at once.
+// Maximum random delay of the takeover, so that not all hosts read at the same
+// time.
 constexpr std::chrono::milliseconds kTakeoverJitter{250};
 
-// A host that stands in for others and is refused asks again after so long.
+// Delay until a fallback reader retries after the store has refused it.
 constexpr std::chrono::milliseconds kFallbackReaderPause{1500};
 
-// A host that does not follow the store looks for a reason to after so long.
+// Interval at which a host that does not follow the store checks whether it has
+// to.
 constexpr std::chrono::milliseconds kFollowCheckInterval{100};
 
-// A host that has just started looks for a copy after so long.
+// Interval at which a host that has just started checks for a snapshot.
 constexpr std::chrono::milliseconds kInitialCheckInterval{20};
 
-// A watch answers at once when something has changed, but for the time in
-// which changes are gathered.
+// A watch responds to a change at once, apart from the batch window.
 constexpr std::chrono::milliseconds kResponseDue{400};
 
-// Deletions that are kept for other hosts.
+// Number of deletions that are kept for other hosts.
 constexpr std::size_t kMaxDeletions = 500;
 
-// After changes the next watch begins so much later, so that changes which
-// come together cost one call: each call has a price.
+// Delay of the next watch after changes. Each call has a price, so changes in
+// quick succession should cost a single call.
 constexpr std::chrono::milliseconds kBatchWindow{200};
 
-// Pauses after failed calls; the store's calls are counted and limited.
+// Delays after failed calls; calls to the store are counted and limited.
 constexpr std::chrono::milliseconds kMinRetryPause{50};
 constexpr std::chrono::milliseconds kMaxRetryPause{600};
 
-// Entries that are found gone within this time of a failed call may belong to
-// servers that live: they have two seconds to come back.
+// Entries found missing within this time after a failed call may belong to
+// running servers, which have two seconds to register again.
 constexpr std::chrono::milliseconds kOutagePeriod{2500};
 
-// Room for the largest value of the store, 1 MB, and for growth.
+// Sufficient for the largest value of the store, 1 MB, and for growth.
 constexpr std::size_t kMaxValueBytes = wire::kMaxFrameBytes;
 
-// A copy of fewer bytes is not packed as one: it fits into a segment.
+// Smaller snapshots are not compressed as a whole, since they fit into one
+// network segment.
 constexpr std::size_t kMinCompressedBytes = 1400;
 
-// Room for all keys of the largest fleet planned for, some 8,000 servers of
+// Sufficient for all keys of the largest planned fleet, some 8,000 servers with
 // 400 bytes each, and for large values.
 constexpr std::size_t kMaxSnapshotBytes = 16 * 1024 * 1024;
 
-// The same copy, packed as one if that makes it smaller.
+// Compresses a snapshot as a whole if that makes it smaller.
 wire::mirror_copy CompressSnapshot(wire::mirror_copy snapshot) {
   const auto compressed =
       wire::Pack(wire::Encode(snapshot), kMinCompressedBytes);
@@ -95,7 +97,7 @@
   return out;
 }
 
-// What another host gave; nothing if it cannot be read.
+// Returns nothing if the snapshot of another host cannot be decoded.
 std::optional<wire::mirror_copy> DecompressSnapshot(
     const wire::mirror_copy& snapshot) {
   if (!snapshot.__isset.packed)
@@ -104,7 +106,7 @@
   return bytes ? wire::DecodeMirrorCopy(*bytes) : std::nullopt;
 }
 
-// A value as it came from another host; nothing if it cannot be read.
+// Returns nothing if the value from another host cannot be decoded.
 std::optional<mirrored_value> DecodeValue(const wire::mirror_entry& entry) {
   mirrored_value value;
   value.revision = entry.revision;
@@ -182,9 +184,9 @@
 void store_mirror::Put(const std::string& key,
                        mirrored_value value,
                        std::int64_t response_revision) {
-  // A large answer may take a second on its way, and peers tell more meanwhile:
-  // of what was known then, all that still holds is known here already. Without
-  // this a server that had gone came back for 12 s at 12 of 63 hosts.
+  // A large response may take a second to be received, while peers send newer
+  // updates. Everything in it that still exists is already known here. Without
+  // this check, removed servers reappeared for 12 s at 12 of 63 hosts.
   const bool late =
       response_revision < revision_ && value.revision <= revision_;
   if (late && !values_.contains(key))
@@ -220,8 +222,8 @@
     if (!values.contains(key) && value.revision <= revision)
       missing.push_back(key);
   }
-  // What is seen to go while the store answers is gone; what went unseen may
-  // have lapsed with the store.
+  // A deletion that is observed while the store responds is definite. A key
+  // that was deleted unobserved may have lapsed because of the store's outage.
   const bool lapsed = FailedWithin(kOutagePeriod);
   for (const std::string& key : missing)
     Remove(key, revision, lapsed);
@@ -244,8 +246,9 @@
 }
 
 std::optional<decisions::told_answer> store_mirror::NewestResponse() {
-  // A large answer takes longer on a narrow link than others wait before they
-  // read for themselves, all of them at once: 58 of 63 hosts did.
+  // On a narrow link a large response takes longer than the takeover timeout of
+  // the other hosts; without counting its parts, 58 of 63 hosts read the store
+  // themselves at the same time.
   const auto received_at = store_.HeardAt();
   if (received_at && (!responses_.own_at || *received_at > *responses_.own_at))
     decisions::NoteOwnAnswer(responses_, events_.follows(), *received_at);
@@ -258,7 +261,8 @@
                                          std::chrono::steady_clock::now());
 }
 
-// Whether this host may end standing in for the hosts that are chosen.
+// Whether this host, as a fallback reader, may leave the store to the chosen
+// followers.
 bool store_mirror::MayStopFollowing() const {
   return !events_.follows() &&
          decisions::MayLeaveToOthers(responses_, kTakeoverTimeout,
@@ -319,7 +323,8 @@
   }
 }
 
-// Hosts that start together would all read the whole store.
+// Waits for a snapshot of another host, so that hosts that start together do
+// not all read the whole store.
 asio::awaitable<void> store_mirror::AwaitInitialSnapshot(
     std::mt19937_64& random) {
   const auto start = std::chrono::steady_clock::now();
@@ -339,8 +344,9 @@
   }
 }
 
-// A host that has a copy goes on from it, unless the store has just failed
-// here: what went meanwhile may have lapsed, which only a whole reading shows.
+// A host that has a snapshot continues from its revision unless a call to the
+// store has just failed: keys deleted meanwhile may have lapsed, which only a
+// full read shows.
 asio::awaitable<void> store_mirror::Loop() {
   std::mt19937_64 random{std::random_device{}()};
   co_await AwaitInitialSnapshot(random);
@@ -435,7 +441,8 @@
   std::map<std::string, mirrored_value> values;
   for (const wire::mirror_entry& each : snapshot.entries) {
     auto value = DecodeValue(each);
-    // Its revision must not count as known without it.
+    // The snapshot is discarded: its revision must not be recorded without the
+    // value.
     if (!value)
       return false;
     values[each.key] = std::move(*value);
@@ -446,7 +453,8 @@
   }
   for (auto& [key, value] : values)
     Put(key, std::move(value), snapshot.revision);
-  // After the entries: of an entry and a later deletion the deletion holds.
+  // Deletions are applied after the entries, since a deletion is newer than an
+  // entry of the same key.
   for (const wire::mirror_entry& each : snapshot.deleted)
     Remove(each.key, each.revision, each.lapsed);
   Advance(snapshot.revision);
--- a/src/host/process/store_mirror.h
+++ b/src/host/process/store_mirror.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// This host's copy of what operators and backend servers keep in the store.
+// This host's mirror of the keys that operators and backend servers write to
+// the store.
 #ifndef VALELEDGE_HOST_PROCESS_STORE_MIRROR_H_
 #define VALELEDGE_HOST_PROCESS_STORE_MIRROR_H_
 
@@ -25,36 +26,40 @@
 struct mirrored_value {
   std::string value;
   std::int64_t revision = 0;
-  // `value` as it is given to other hosts: once it was packed or came so.
-  // Nothing if it has not been asked for, or is not worth packing.
+  // The compressed form of `value` for other hosts, cached when it was first
+  // compressed or received. Empty if it has not been requested, or if
+  // compression does not reduce its size.
   std::optional<std::string> compressed;
   bool compression_tried = false;
 };
 
-// What the owner of a mirror is told and asked; runs on the host's thread.
+// Event handlers and queries of the mirror's owner; called on the host's
+// thread.
 struct mirror_events {
-  // Whether this host is one of those that follow the store for all.
+  // Whether this host is one of those chosen to follow the store.
   std::function<bool()> follows;
   std::function<void(const std::string& key, const std::string& value)> put;
-  // `lapsed`: the store has been in trouble, and the key's owner may live.
+  // `lapsed`: the store has been unavailable, and the key's owner may still be
+  // running.
   std::function<void(const std::string& key, bool lapsed)> removed;
-  // All that the store held when it was asked at this time is here.
+  // The mirror contains everything that the store contained at `requested_at`.
   std::function<void(base::boot_clock::time_point requested_at)> complete;
-  // The mirror has a newer revision than before.
+  // The mirror has reached a newer revision.
   std::function<void(std::int64_t revision)> advanced;
-  // Whether this host knows of others. Unset: it never does.
+  // Whether this host knows other hosts. If unset, it never does.
   std::function<bool()> knows_others = {};
 };
 
-// A key that was deleted lately.
+// A recently deleted key.
 struct mirrored_deletion {
   std::int64_t revision = 0;
   bool lapsed = false;
 };
 
-// All keys under a prefix. A few hosts read them and follow their changes; the
-// others take in copies of theirs, and read for themselves as soon as the
-// store has answered none of those they hear of for a while.
+// Mirrors all keys under a prefix. A few hosts read them from the store and
+// follow its changes. The others apply snapshots of these hosts, and become
+// fallback readers as soon as they know of no host that the store has responded
+// to for a while.
 class store_mirror {
  public:
   store_mirror(boost::asio::io_context& context,
@@ -64,33 +69,34 @@
 
   void Start();
 
-  // Whether this host follows the store and the newest call went well.
+  // Whether this host follows the store and the last call succeeded.
   bool IsCurrent() const { return current_; }
-  // Whether a newer copy should be asked of another host: the store's own
-  // answer, if one is due here, is late.
+  // Whether to request a newer snapshot from another host: this host does not
+  // follow the store, or the response of the store is late.
   bool NeedsSnapshot() const;
-  // How long ago the store last answered any host that is known of; nothing
-  // if it never did.
+  // Time since the store last responded to any known host. Empty if it never
+  // did.
   std::optional<std::chrono::milliseconds> Age() const;
-  // Another host knows of an answer of the store.
+  // Records a store response to another host, as reported by a peer.
   void RecordReportedResponse(const decisions::told_answer& report);
-  // The newest answer that is known of, for other hosts; nothing if the store
-  // never answered. An answer to this host of which parts come in counts.
+  // The newest known response of the store, to be reported to other hosts.
+  // Empty if there was none. A response to this host counts as soon as parts of
+  // it are received.
   std::optional<decisions::told_answer> NewestResponse();
-  // Whether a call failed within `span` before now.
+  // Whether a call to the store failed within the last `span`.
   bool FailedWithin(std::chrono::milliseconds span) const;
   std::int64_t revision() const { return revision_; }
-  // What the store holds under a key; nothing if it has no such key.
+  // The value of a key; empty if it does not exist.
   std::optional<std::string> Value(const std::string& key) const;
 
-  // What another host asks for.
+  // Returns the snapshot that another host requested.
   wire::mirror_copy SnapshotFor(const wire::mirror_request& request);
-  // What another host lacks that has everything up to a revision, large values
-  // packed unless it takes none.
+  // Returns the changes since a revision, with large values compressed if the
+  // receiver supports it.
   wire::mirror_copy SnapshotSince(std::int64_t revision,
                                   bool compressed = true);
-  // Takes in another host's copy, if it is newer and can be read; whether it
-  // could.
+  // Applies another host's snapshot if it is newer. Returns false if it cannot
+  // be decoded.
   bool Apply(const wire::mirror_copy& received);
 
  private:
@@ -100,7 +106,8 @@
   boost::asio::awaitable<bool> Follow();
   void Replace(std::map<std::string, mirrored_value> values,
                std::int64_t revision);
-  // `response_revision` is the revision of the answer that holds the value.
+  // `response_revision` is the revision of the response that contains the
+  // value.
   void Put(const std::string& key,
            mirrored_value value,
            std::int64_t response_revision);
@@ -116,16 +123,16 @@
   mirror_events events_;
   std::map<std::string, mirrored_value> values_;
   std::map<std::string, mirrored_deletion> deletions_;
-  // Deletions up to here are forgotten.
+  // Deletions up to this revision have been discarded.
   std::int64_t discarded_up_to_ = 0;
   std::int64_t revision_ = 0;
-  // When the store answered this host, and others.
+  // Responses of the store to this host and to others.
   decisions::answer_ages responses_;
-  // When the last whole answer came.
+  // When the last complete response was received.
   std::optional<base::time_point> last_response_at_;
   bool current_ = false;
   bool was_down_ = false;
-  // The store no longer has the changes since this host's revision.
+  // The store has discarded the changes since this host's revision.
   bool history_gone_ = false;
   base::time_point failed_at_;
   bool failed_once_ = false;
--- a/src/host/process/store_update_handler.cc
+++ b/src/host/process/store_update_handler.cc
@@ -19,11 +19,12 @@
 
 constexpr std::string_view kCategory = "host";
 
-// Entries that lapse while the store is in trouble are used for so long.
+// Servers whose entries lapse while the store is unavailable are used for this
+// time.
 constexpr milliseconds kLapseGrace{1800};
 
-// The availability zone that a key says is being evacuated; nothing for other
-// keys.
+// Returns the availability zone whose evacuation a key requests, or nothing for
+// other keys.
 std::optional<std::string> EvacuatedZone(const store_keys& keys,
                                          const std::string& key) {
   const std::string& prefix = keys.evacuation_prefix;
--- a/src/host/process/store_update_handler.h
+++ b/src/host/process/store_update_handler.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Takes in what operators and backend servers keep in the store: the
-// configuration, zones that are evacuated, and entries of backend servers.
+// Applies what operators and backend servers write to the store: the
+// configuration, evacuations of availability zones, and entries of backend
+// servers.
 #ifndef VALELEDGE_HOST_PROCESS_STORE_UPDATE_HANDLER_H_
 #define VALELEDGE_HOST_PROCESS_STORE_UPDATE_HANDLER_H_
 
@@ -13,14 +14,15 @@
 
 namespace valeledge::host {
 
-// Whom the feed tells; runs on the host's thread.
+// Callbacks for other components; called on the host's thread.
 struct store_update_callbacks {
-  // A newer configuration is in force.
+  // A newer configuration is about to take effect.
   std::function<void(const catalog::configuration& newer)>
       configuration_changed;
-  // The store names the holder of the lease.
+  // The store contains the lease holder's address.
   std::function<void(const base::endpoint& holder)> lease_holder_changed;
-  // Whether a key is one of requests that are held back, and has been taken in.
+  // Return whether the key belongs to a quarantined request, in which case the
+  // change has been handled.
   std::function<bool(const std::string& key)> quarantine_key_put;
   std::function<bool(const std::string& key, bool lapsed)>
       quarantine_key_removed;
@@ -31,7 +33,7 @@
   store_update_handler(host_core& core, store_update_callbacks callbacks);
 
   void Put(const std::string& key, const std::string& value);
-  // `lapsed`: the owner of the key may live.
+  // `lapsed`: the owner of the key may still be running.
   void Remove(const std::string& key, bool lapsed);
 
  private:
--- a/src/host/process/workspace_limit_service.cc
+++ b/src/host/process/workspace_limit_service.cc
@@ -29,19 +29,20 @@
 
 constexpr std::string_view kCategory = "limits";
 
-// What workspaces ask for is told so often.
+// Interval at which the usage of limits is logged.
 constexpr milliseconds kUsageLogInterval{1000};
 
-// An owner that is well answers within a few milliseconds.
+// A responsive owner replies within a few milliseconds.
 constexpr milliseconds kOwnerTimeout{120};
 
-// A host that started so long ago knows most of the others.
+// By this time after its start a host knows most of the other hosts.
 constexpr std::chrono::seconds kStartupPeriod{10};
 
-// Who has nothing to go on with asks a second time after so long.
+// Delay of the second request to the owner if this host has no allowance of its
+// own.
 constexpr milliseconds kRetryDelay{150};
 
-// Where no owner can be asked, one is found within about this time.
+// An owner is typically available again within this time.
 constexpr milliseconds kNoOwnerRetryAfter{400};
 
 wire::limit_reply ToReply(const decisions::limit_answer& answer) {
@@ -114,8 +115,8 @@
   }
 }
 
-// Hosts that start together find each other within a second or more, and each
-// takes itself for the owner of everything before.
+// Hosts that start together discover each other within about a second. Until
+// then each of them assumes that it owns all limits.
 void workspace_limit_service::OnMemberJoined(base::time_point now) {
   if (!HasJustStarted(now))
     return;
@@ -189,7 +190,7 @@
     decisions::NoteExceeded(state.allowance, now);
     auto exceeded =
         base::MakeError(result_code::kWorkspaceLimit, base::outcome::kNotRun,
-                        "the workspace asks for more than its limit");
+                        "the workspace has exceeded its limit");
     exceeded.retry_after =
         std::chrono::ceil<milliseconds>(microseconds(reply->retry_after_us));
     return tl::make_unexpected(std::move(exceeded));
@@ -202,7 +203,7 @@
   }
   auto no_owner =
       base::MakeError(result_code::kNoLimitOwner, base::outcome::kNotRun,
-                      "nobody can tell now what is left of the limit");
+                      "no owner of the workspace limit can be reached");
   no_owner.retry_after = kNoOwnerRetryAfter;
   return tl::make_unexpected(std::move(no_owner));
 }
--- a/src/host/process/workspace_limit_service.h
+++ b/src/host/process/workspace_limit_service.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Keeps the limits of workspaces over all hosts: asks a limit's owner for each
-// request, and answers for the limits that this host owns.
+// Enforces workspace limits across all hosts. Each limit has one owner host.
+// This service requests the cost of each request from the owner, and handles
+// such requests for the limits that this host owns.
 #ifndef VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
 #define VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
 
@@ -19,19 +20,19 @@
 
 namespace valeledge::host {
 
-// What the duty needs of the others; runs on the host's thread.
+// Dependencies on other components; called on the host's thread.
 struct workspace_limit_callbacks {
-  // The host that owns the limit of a workspace; nothing if there is none.
+  // The host that owns the limit of a workspace, if there is one.
   std::function<std::optional<base::endpoint>(const std::string& workspace)>
       owner;
-  // What this host knows of the others.
+  // This host's view of the other hosts.
   std::function<decisions::limit_members()> members;
   std::function<boost::asio::awaitable<base::result<wire::envelope>>(
       base::endpoint where,
       wire::envelope call,
       std::chrono::microseconds timeout)>
       call;
-  // An owner did not answer.
+  // Reports that an owner did not respond.
   std::function<void(const base::endpoint& owner)> suspect;
 };
 
@@ -39,38 +40,39 @@
  public:
   workspace_limit_service(host_core& core, workspace_limit_callbacks callbacks);
 
-  // Takes what one request counts from the limit of its workspace, by name
-  // since it may be gone meanwhile. The error says why it may not be sent.
+  // Charges the cost of one request to the limit of its workspace. Returns an
+  // error if the request may not be sent. The workspace is passed by name,
+  // since it may be removed meanwhile.
   boost::asio::awaitable<base::result<void>> Acquire(std::string workspace,
                                                      double count);
-  // The request has not run, and never will.
+  // Refunds the cost of a request that did not run and never will.
   void Release(const std::string& workspace, double count);
 
-  // Another host asks for a request of its own.
+  // Handles a request of another host.
   wire::limit_reply HandleRequest(const wire::limit_question& request);
 
-  // Begins and ends to own limits as members come and go. Call several times a
-  // second.
+  // Updates the set of owned limits as members join and leave. Must be called
+  // several times a second.
   void Tick(base::time_point now);
-  // Another host was not known before.
+  // A host that was not known before has joined.
   void OnMemberJoined(base::time_point now);
 
  private:
-  // How one host stands to the owner of one limit.
+  // State that this host keeps for the owner of one limit.
   struct owner_state {
     decisions::limit_allowance allowance;
-    // The owner did not answer; it is asked by one request at a time until it
-    // does.
+    // The owner did not respond. Until it does, only one request at a time is
+    // sent to it.
     bool is_unresponsive = false;
     bool has_pending_request = false;
   };
 
   boost::asio::awaitable<std::optional<wire::limit_reply>> RequestWithRetry(
       wire::limit_question request);
-  // Whether this host has just started.
+  // Whether this host started recently.
   bool HasJustStarted(base::time_point now) const;
   bool OwnsLimit(const std::string& workspace) const;
-  // Nothing if this host has no limit of that name.
+  // Returns null if the workspace has no limit.
   const catalog::workspace_limit* FindLimit(const std::string& name) const;
   boost::asio::awaitable<std::optional<wire::limit_reply>> RequestFromOwner(
       wire::limit_question request);
@@ -79,7 +81,7 @@
       double count,
       const std::optional<wire::limit_reply>& reply);
 
-  // Logs what was asked of the limits that this host owns.
+  // Logs the usage of the limits that this host owns.
   void LogUsage(base::time_point now);
 
   host_core& core_;
--- a/tests/auto/host/fake_store.h
+++ b/tests/auto/host/fake_store.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A key-value service in memory, for tests: keys, revisions and watches, with
-// failures on demand. Watches answer at once.
+// In-memory key-value store for tests with keys, revisions and watches, which
+// fails on demand. Watches respond to a change at once.
 #ifndef VALELEDGE_TESTS_AUTO_HOST_FAKE_STORE_H_
 #define VALELEDGE_TESTS_AUTO_HOST_FAKE_STORE_H_
 
@@ -25,25 +25,25 @@
     changed_.expires_at(std::chrono::steady_clock::time_point::max());
   }
 
-  // Calls fail while this is set.
+  // If set, all calls fail.
   bool down = false;
-  // Leases are granted; their keys go with them.
+  // If set, leases are granted. Revoking a lease removes its keys.
   bool grants_leases = false;
-  // Transactions without conditions so far.
+  // Number of transactions without conditions so far.
   int reads = 0;
-  // Writes whose answers get lost after they were done.
+  // Number of writes that are executed but whose responses are lost.
   int responses_to_lose = 0;
-  // Answers to watches, or to readings, are on their way until this is no
-  // longer set and Wake is called.
+  // If set, responses to watches or reads are held until this is cleared and
+  // Wake is called.
   bool holds_watch_responses = false;
   bool holds_read_responses = false;
-  // How many are.
+  // Number of responses that are held.
   int held_responses = 0;
-  // A part of an answer that is on its way has come.
+  // When the first part of a pending response was received.
   std::optional<base::time_point> response_started_at;
-  // How long the last watch may wait at the most.
+  // Maximum duration of the last watch.
   std::optional<std::chrono::microseconds> max_watch_time;
-  // Watches answer that the history is gone once.
+  // If set, the next watch fails because its history is gone.
   bool history_gone = false;
 
   void Put(const std::string& key, const std::string& value) {
@@ -65,7 +65,7 @@
     changed_.cancel();
   }
 
-  // Lets watches that wait look again.
+  // Lets pending watches check again.
   void Wake() { changed_.cancel(); }
 
   boost::asio::awaitable<base::result<store::kv_transaction_result>> Run(
--- a/tests/auto/host/mirror_world.h
+++ b/tests/auto/host/mirror_world.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A host's copy of a store that is in memory, and what it has told.
+// A store mirror with an in-memory store, which records the mirror's events.
 #ifndef VALELEDGE_TESTS_AUTO_HOST_MIRROR_WORLD_H_
 #define VALELEDGE_TESTS_AUTO_HOST_MIRROR_WORLD_H_
 
@@ -30,7 +30,7 @@
                 [](auto) {}, [](std::int64_t) {},
                 [this] { return knows_others; }}) {}
 
-  // Runs until `done`, which an event of the mirror brings about.
+  // Runs until `done`, which an event of the mirror must cause.
   void RunUntil(const std::function<bool()>& done) {
     while (!done())
       BOOST_REQUIRE_NE(context.run_one_for(std::chrono::seconds(20)), 0u);
--- a/tests/auto/host/test_caller_keys.cc
+++ b/tests/auto/host/test_caller_keys.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Callers show a key; their workspace is told to servers, the key never.
+// Callers authenticate with a key. Their workspace is forwarded to servers, the
+// key never is.
 #include <string>
 #include <utility>
 #include <vector>
@@ -31,7 +32,7 @@
     AddServer("i-1", first.address());
   }
 
-  // What is known was complete so long ago.
+  // Sets the age of this host's knowledge of the keys.
   void SetFreshness(std::chrono::milliseconds age) {
     core->freshness.complete_as_of = base::boot_clock::now() - age;
   }
@@ -75,8 +76,8 @@
   BOOST_TEST(here.first.requests.empty());
 }
 
-// Whatever a caller sends under the names that this system sets, the server
-// gets one field, and what this system says.
+// Whatever a caller sends under the field names that the host sets, the server
+// receives exactly one field with the host's value.
 BOOST_AUTO_TEST_CASE(fields_set_by_the_host_override_caller_fields) {
   keyed_world here;
   const caller_fields key{{"Api-Key", "key-one"}};
@@ -111,7 +112,8 @@
   BOOST_REQUIRE(here.first.requests.size() == 1u);
   const net::http_request& sent = here.first.requests.back();
   BOOST_TEST(sent.count("X-Hop") == 0u);
-  // These are for the server, whatever the caller says.
+  // These fields are meant for the server, even if the caller names them in
+  // Connection.
   BOOST_TEST(sent["X-Request-Id"] == "9c41");
   BOOST_TEST(sent[http::field::host] == "a.example");
 }
--- a/tests/auto/host/test_quarantine_coordinator.cc
+++ b/tests/auto/host/test_quarantine_coordinator.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Several hosts that tell each other under which requests servers end, in
-// memory and one event loop, with a store that all of them read.
+// Several hosts that report crashes of servers to each other, in memory and on
+// one event loop, with a store that all of them read.
 #include "host/process/quarantine_coordinator.h"
 
 #include <memory>
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kRequest = 0xfedcba9876543210;
 const std::string kKey = "valeledge/held/fedcba9876543210";
 
-// An attempt that was sent, and at once its server ended.
+// The crash of a server immediately after an attempt was sent to it.
 decisions::server_end CrashOf(std::int32_t server) {
   const auto now = std::chrono::steady_clock::now();
   return {server, now, now};
@@ -32,7 +32,8 @@
 
 class fleet {
  public:
-  // `hearing` hosts are told of ends; the others only read the store.
+  // Only the first `receivers` hosts receive crash reports; the others only
+  // read the store.
   fleet(std::size_t count, std::size_t receivers) : receivers_(receivers) {
     store.grants_leases = true;
     for (std::size_t i = 0; i < count; ++i)
@@ -69,7 +70,7 @@
     return count;
   }
 
-  // Runs what is under way, and has all hosts read the store.
+  // Completes pending work, and then lets all hosts read the store.
   void RunAndReadStore() {
     context.restart();
     while (context.poll_one() != 0) {
@@ -86,7 +87,7 @@
     }
   }
 
-  // Until the store says that the request is held back, or for ten seconds.
+  // Runs until the store contains the quarantine key, or for ten seconds.
   void RunUntilStored() {
     const auto until = std::chrono::steady_clock::now() + 10s;
     while (!StoreHas() && std::chrono::steady_clock::now() < until) {
@@ -116,9 +117,9 @@
   test::fake_store store{context};
   // The host that is chosen to write.
   std::size_t first = 0;
-  // Hosts that nothing reaches and that reach nobody.
+  // Hosts that can neither send nor receive.
   std::set<std::size_t> disconnected;
-  // Messages that were sent.
+  // Number of updates sent.
   int sent = 0;
 
  private:
@@ -165,7 +166,7 @@
   BOOST_TEST(here.CountQuarantining() == 16u);
   here.RunAndReadStore();
   BOOST_TEST(here.CountQuarantining() == 300u);
-  // One that starts later reads the same.
+  // A host that starts later reads the same key.
   here.AddHost();
   here.At(300).PutKey(kKey);
   BOOST_TEST(here.IsQuarantined(300));
@@ -182,8 +183,8 @@
   BOOST_TEST(here.IsQuarantined(2));
 }
 
-// Of the many requests that are at one end, only those at a second are told of
-// again.
+// Many requests are in progress at a single crash. Only those at a second crash
+// are published repeatedly.
 BOOST_AUTO_TEST_CASE(a_single_crash_is_published_once) {
   fleet here(3, 3);
   here.At(0).OnServerCrash(kRequest, CrashOf(1));
@@ -213,7 +214,7 @@
 
 BOOST_AUTO_TEST_CASE(others_write_if_the_chosen_host_does_not) {
   fleet here(3, 3);
-  // Chosen, and not there.
+  // The chosen host does not exist.
   here.first = 7;
   for (std::int32_t server = 0; server < 3; ++server)
     here.At(0).OnServerCrash(kRequest, CrashOf(server));
@@ -226,7 +227,7 @@
   here.At(0).OnServerCrash(kRequest, CrashOf(1));
   here.At(1).OnServerCrash(kRequest, CrashOf(2));
   here.At(2).OnCompletedResponse(kRequest);
-  // Nobody tells of what was before.
+  // The earlier crashes are no longer published.
   for (std::size_t i = 0; i < 3; ++i)
     here.At(i).Republish();
   here.At(0).OnServerCrash(kRequest, CrashOf(3));
--- a/tests/auto/host/test_server_limit_fleet.cc
+++ b/tests/auto/host/test_server_limit_fleet.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What hosts together send to a backend server that advertises a rate limit.
+// The requests that several hosts together send to a backend server that
+// advertises a rate limit.
 #include <chrono>
 #include <memory>
 #include <optional>
@@ -24,7 +25,7 @@
          rate + "\r\nContent-Length: 5\r\n\r\nhello";
 }
 
-// Hosts on one event loop, the first of which holds the lease.
+// Hosts on one event loop, the first of which is the lease holder.
 struct fleet {
   explicit fleet(int hosts) {
     for (int i = 0; i < hosts; ++i)
@@ -62,7 +63,8 @@
   host::known_server& ServerAt(std::size_t host) {
     return *hosts[host]->core->servers.Find("i-1");
   }
-  // Another host holds the lease for a while: all its permits are gone.
+  // Simulates that another host held the lease for a while, which invalidates
+  // all permits.
   void ChangeTerm() { ++term; }
 
   std::shared_ptr<boost::asio::io_context> event_loop =
@@ -77,7 +79,8 @@
 
 BOOST_AUTO_TEST_SUITE(server_limit_fleet)
 
-// The users' rule for any 4 s: one and a half times the limit and 5 requests.
+// Requirement for any period of 4 s: at most one and a half times the limit,
+// plus 5 requests.
 BOOST_AUTO_TEST_CASE(hosts_together_do_not_exceed_a_known_server_limit) {
   constexpr std::size_t kAllowed = 11;
   constexpr int kHosts = 8;
--- a/tests/auto/host/test_server_limits.cc
+++ b/tests/auto/host/test_server_limits.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rate limits that backend servers advertise, as a host sees them.
+// Rate limits that backend servers advertise, within one host.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -45,7 +45,8 @@
   BOOST_TEST(!server->IsLimited());
 }
 
-// What cannot be sent in time is refused at once, with when to come back.
+// A request that cannot be sent in time is refused at once with a retry-after
+// delay.
 BOOST_AUTO_TEST_CASE(a_request_without_a_permit_is_refused_at_once) {
   world here;
   here.AddServer("i-1", here.first.address());
@@ -77,7 +78,8 @@
   BOOST_TEST(here.second.requests.size() == 10u);
 }
 
-// The only engine with the model has no permit, and another one loads it.
+// The only engine with the model has no permit available, and another one loads
+// the model.
 BOOST_AUTO_TEST_CASE(a_request_without_a_permit_waits_for_a_replica_in_time) {
   world here;
   here.AddEngine(10s);
--- a/tests/auto/host/test_snapshot_spread.cc
+++ b/tests/auto/host/test_snapshot_spread.cc
@@ -1,22 +1,21 @@
 // SPDX-License-Identifier: MIT
-// What users saw: an operator's change had been acknowledged, and seconds later
-// some hosts still answered 404 for a route that it had added; one host kept
-// the older version for 32 s, to the end of the day.
+// Guards against hosts on narrow links that never receive a large
+// configuration. A configuration of 4,249 routes (750 KB) had been
+// acknowledged, but some hosts still answered 404 for an added route seconds
+// later, and one host kept the older version for 32 s.
 //
-// Order of events: the configuration had grown to 4,249 routes (750 KB). The
-// host that followed the store for its availability zone and 19 of the 21 that
-// asked it for copies had links of 10 Mbit/s. The copies came slowly, so each
-// host asked a second and a third peer beside the first, gave each copy up
-// after 2 s, and asked again. The next version came 3 s later and was as large.
+// The host that followed the store for its availability zone and 19 of the 21
+// hosts that fetched snapshots from it had links of 10 Mbit/s. Each host
+// fetched from a second and a third peer as well, abandoned each snapshot after
+// 2 s, and requested it again. The next version, 3 s later, was as large.
 //
-// Cause: a copy was waited for by the clock, not by whether it came in. What
-// was given up still came in and was thrown away, and filled the link on which
-// the next copy was waited for, so that it was given up too.
-//
-// Evidence: that host took in 1.1 to 1.3 MB a second, all that its link
-// carries, for 32 s, used 0 to 1 % of its processor, and its version did not
-// change. The play below shows the same on the code of then: hosts that never
-// have the copy, while several times what is needed is sent.
+// Cause: a fetch was abandoned after a fixed time even while data was being
+// received. The rest of an abandoned snapshot was still transferred and
+// discarded, and filled the link on which the next one was awaited. The
+// affected host received 1.1 to 1.3 MB a second, the capacity of its link, for
+// 32 s with a processor load of 0 to 1 %, and its version did not change. With
+// the code of that time the simulation below showed the same: some hosts never
+// had the snapshot, while several times the required data was sent.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -40,12 +39,13 @@
 using namespace valeledge;
 using namespace std::chrono_literals;
 
-// Links as in the deployment where this was seen, in bytes a second.
+// Links of the affected deployment, in bytes a second.
 constexpr double kNarrow = 10e6 / 8;
 constexpr double kWide = 200e6 / 8;
 
 constexpr auto kStep = 5ms;
-// A host hears from a peer of its zone so often while callers are served.
+// Interval at which a host receives reports from a peer of its zone while
+// callers are served.
 constexpr auto kReportInterval = 30ms;
 
 struct simulated_host {
@@ -59,18 +59,19 @@
   std::size_t to = 0;
   double bytes_left = 0;
   double bytes_received = 0;
-  // Nobody waits for it, but it comes in all the same.
+  // The receiver no longer waits for it, but it is still transferred.
   bool abandoned = false;
 };
 
-// Hosts of one availability zone, one of which has a newer copy. Links are
-// shared evenly by what goes over them. Virtual time.
+// Hosts of one availability zone, one of which has a newer snapshot, in virtual
+// time. The capacity of a link is shared evenly by its transfers.
 class zone_simulation {
  public:
   zone_simulation(std::vector<simulated_host> hosts, double snapshot_bytes)
       : hosts_(std::move(hosts)), snapshot_bytes_(snapshot_bytes) {}
 
-  // When the last host had the copy; nothing if some never had within `most`.
+  // Returns when the last host had the snapshot, or nothing if some hosts did
+  // not have it within `max_time`.
   std::optional<std::chrono::milliseconds> Run(
       std::chrono::milliseconds max_time) {
     for (auto elapsed = 0ms; elapsed <= max_time; elapsed += kStep) {
@@ -91,7 +92,7 @@
     return std::ranges::count(hosts_, false, &simulated_host::has_snapshot);
   }
 
-  // All bytes that were carried, in copies.
+  // All transferred bytes, in units of one snapshot.
   double snapshots_transferred() const {
     return bytes_transferred_ / snapshot_bytes_;
   }
@@ -114,7 +115,7 @@
     }
   }
 
-  // A host that has too much to send says so at once.
+  // A host with too much queued data refuses at once.
   void RequestSnapshot(std::size_t from, std::size_t to) {
     double queued = 0;
     for (const transfer& each : transfers_)
@@ -181,7 +182,8 @@
   std::mt19937_64 random_{1};
 };
 
-// 22 hosts, two of them on wide links; the one that follows the store is not.
+// 22 hosts, two of them on wide links; the one that follows the store has a
+// narrow link.
 std::vector<simulated_host> ZoneOfNarrowHosts() {
   std::vector<simulated_host> hosts(22);
   hosts[0].has_snapshot = true;
@@ -198,7 +200,8 @@
   return name;
 }
 
-// A configuration as an operator writes it: names differ, all else repeats.
+// A configuration as operators write it: the names differ, everything else
+// repeats.
 std::string LargeConfiguration(int routes) {
   std::mt19937_64 random(2);
   std::string text = "{\"routes\":[";
@@ -213,7 +216,7 @@
   return text + "}";
 }
 
-// Bytes of one host's answer to another that lacks the newest configuration.
+// Size of the reply to a host that lacks the newest configuration.
 double SnapshotBytes(const std::string& configuration) {
   boost::asio::io_context context;
   test::fake_store store(context);
@@ -237,8 +240,8 @@
 
 BOOST_AUTO_TEST_SUITE(snapshot_spread)
 
-// Changes must be in force within 3 s of their acknowledgement, of which the
-// store and the host that follows it have used one or two.
+// Changes must take effect within 3 s of their acknowledgement. The store and
+// the host that follows it use one or two of these seconds.
 BOOST_AUTO_TEST_CASE(
     a_large_configuration_reaches_hosts_on_narrow_links_in_time) {
   const std::string configuration = LargeConfiguration(4250);
@@ -247,28 +250,29 @@
   const auto last_host_at = simulation.Run(60s);
   BOOST_REQUIRE_MESSAGE(last_host_at.has_value(),
                         simulation.hosts_without_snapshot()
-                            << " hosts have no copy after 60 s, in which "
+                            << " hosts have no snapshot after 60 s, in which "
                             << simulation.snapshots_transferred()
-                            << " were carried");
+                            << " were transferred");
   BOOST_TEST_MESSAGE("last host after " << last_host_at->count() << " ms");
   BOOST_TEST(last_host_at->count() <= 1000);
 }
 
-// A copy of 750 KB that cannot be made smaller takes 0.6 s on a narrow link; a
-// host that has it gives it to the next, so five such steps would do for 22.
+// An incompressible snapshot of 750 KB takes 0.6 s on a narrow link. Each host
+// that has it sends it to the next, so five such steps would suffice for 22
+// hosts.
 BOOST_AUTO_TEST_CASE(an_incompressible_snapshot_reaches_hosts_on_narrow_links) {
   zone_simulation simulation(ZoneOfNarrowHosts(), 750e3);
   const auto last_host_at = simulation.Run(60s);
   BOOST_REQUIRE_MESSAGE(last_host_at.has_value(),
                         simulation.hosts_without_snapshot()
-                            << " hosts have no copy after 60 s, in which "
+                            << " hosts have no snapshot after 60 s, in which "
                             << simulation.snapshots_transferred()
-                            << " were carried");
+                            << " were transferred");
   BOOST_TEST_MESSAGE("last host after " << last_host_at->count() << " ms, "
                                         << simulation.snapshots_transferred()
-                                        << " copies");
+                                        << " snapshots");
   BOOST_TEST(last_host_at->count() <= 6000);
-  // Nothing is carried in vain.
+  // Hardly any transferred data is discarded.
   BOOST_TEST(simulation.snapshots_transferred() <= 21 * 1.2);
 }
 
--- a/tests/auto/host/test_store_mirror.cc
+++ b/tests/auto/host/test_store_mirror.cc
@@ -34,8 +34,8 @@
   BOOST_TEST(here.mirror.IsCurrent());
 }
 
-// Servers that are taken away just after an outage are gone at once; only what
-// went during the outage may come back.
+// Servers that are removed just after an outage are gone at once. Only keys
+// that were removed during the outage may be registered again.
 BOOST_AUTO_TEST_CASE(only_keys_removed_during_an_outage_have_lapsed) {
   world here;
   here.store.Put("lapses", "1");
@@ -80,8 +80,8 @@
   BOOST_TEST(here.put.back() == "b");
 }
 
-// A host that the store turns away takes the copy of another; an older copy
-// changes nothing.
+// A host that the store refuses applies the snapshots of another host. An older
+// snapshot changes nothing.
 BOOST_AUTO_TEST_CASE(applies_only_newer_snapshots) {
   world here;
   here.store.Put("a", "1");
@@ -101,8 +101,8 @@
   BOOST_TEST(here.mirror.revision() == snapshot.revision);
 }
 
-// A host that does not follow the store reads it once, then only takes copies,
-// until nobody has heard of the store for a while.
+// A host that does not follow the store reads it once and then only applies
+// snapshots, until no store response to any host has been reported for a while.
 BOOST_AUTO_TEST_CASE(becomes_a_fallback_reader_without_followers) {
   world here;
   here.follows = false;
@@ -140,8 +140,9 @@
   BOOST_TEST(other.put.size() == 2u);
 }
 
-// That an answer is on its way is news for the others, which would read for
-// themselves after 1.1 s; it is not whole, so that copies of peers are wanted.
+// The first part of a response is reported to the other hosts, which would
+// otherwise read the store themselves after 1.1 s. Since the response is not
+// complete, snapshots of peers are still requested.
 BOOST_AUTO_TEST_CASE(a_partial_response_shows_that_the_store_responds) {
   world here;
   here.store.Put("a", "1");
@@ -159,8 +160,9 @@
   BOOST_TEST(here.mirror.NewestResponse()->stamp.count == partial->stamp.count);
 }
 
-// A large value is given packed, on to others as it came, and as it is to those
-// that take none; one that cannot be read leaves everything as it was.
+// A large value is sent compressed, forwarded as received, and sent
+// uncompressed to hosts that do not support compression. A value that cannot be
+// decoded changes nothing.
 BOOST_AUTO_TEST_CASE(large_values_are_sent_compressed) {
   const std::string large(200'000, 'x');
   world first;
@@ -185,8 +187,9 @@
   BOOST_TEST(third.put.empty());
 }
 
-// Where nothing changes for a second, no host that hears of the answers a
-// little later takes the store for silent and reads for itself.
+// While nothing changes for a second, hosts that receive reports of the
+// responses slightly later must not assume that the store is unresponsive and
+// read it themselves.
 BOOST_AUTO_TEST_CASE(an_idle_watch_ends_before_fallback_readers_start) {
   constexpr std::chrono::milliseconds kTakeoverTimeout{1100};
   world here;
@@ -198,7 +201,8 @@
               kTakeoverTimeout - std::chrono::milliseconds(100)));
 }
 
-// A fleet whose followers are cut off would read the whole store host by host.
+// In a fleet whose followers are disconnected, every host in turn would
+// otherwise read the whole store.
 BOOST_AUTO_TEST_CASE(a_fallback_reader_continues_from_its_snapshot) {
   world first;
   first.store.Put("a", "1");
@@ -211,12 +215,13 @@
   BOOST_TEST(here.mirror.Apply(first.mirror.SnapshotSince(0)));
   here.store.Put("b", "2");
   here.mirror.Start();
-  // Nobody is known to be answered by the store.
+  // No response of the store to any host is known.
   here.RunUntil([&] { return here.put.size() == 2; });
   BOOST_TEST(here.store.reads == 0);
 }
 
-// Entries of backend servers are alike, and too small to pack by themselves.
+// Entries of backend servers are similar to each other, and too small to be
+// compressed individually.
 BOOST_AUTO_TEST_CASE(a_snapshot_of_many_small_entries_is_compressed_as_one) {
   world first;
   constexpr std::size_t kServers = 1000;
@@ -242,7 +247,7 @@
   BOOST_TEST(third.mirror.revision() == 0);
 }
 
-// Hosts that start together read the store one for each zone.
+// When hosts start together, one per zone reads the store.
 BOOST_AUTO_TEST_CASE(a_host_that_knows_others_waits_for_their_snapshot) {
   world here;
   here.follows = false;
--- a/tests/auto/host/test_workspace_limit_service.cc
+++ b/tests/auto/host/test_workspace_limit_service.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Limits of workspaces: between a host and the limit's owner, and what callers
-// get.
+// Workspace limits: the protocol between a host and the limit's owner, and the
+// responses that callers receive.
 #include "host/process/workspace_limit_service.h"
 
 #include <memory>
@@ -123,7 +123,8 @@
   }
   const std::chrono::duration<double> elapsed =
       std::chrono::steady_clock::now() - start;
-  // It was given 50 a second: three tenths of that at once, the rest with time.
+  // The host was granted 50 a second. Three tenths of that are available at
+  // once, the rest over time.
   BOOST_TEST(acquired >= 13);
   BOOST_TEST(acquired <= 16 + 50 * elapsed.count());
   BOOST_REQUIRE(!here.suspected.empty());
@@ -146,7 +147,7 @@
   BOOST_TEST(acquired <= 110);
 }
 
-// Hosts that start together all take themselves for the owner for a while.
+// Hosts that start together each assume for a while that they own all limits.
 BOOST_AUTO_TEST_CASE(a_host_that_is_still_discovering_members_grants_nothing) {
   host_and_owner here;
   here.owner = kSelf;
@@ -174,7 +175,7 @@
   BOOST_TEST(here.service->HandleRequest(request).verdict == 2);
 }
 
-// What callers get, and what is charged for it.
+// A host whose workspace has a limit; records what is charged and refunded.
 struct charged_world : world {
   charged_world() {
     configuration.needs_keys = true;
@@ -222,7 +223,7 @@
   charged_world here;
   here.AddServer("i-2", here.second.address());
   BOOST_TEST(here.Ask("/once/").status == 200);
-  // Sent on, and it ran twice.
+  // The request is retried and runs twice.
   here.first.script = {{kFailed}};
   here.second.script = {{kFailed}};
   BOOST_TEST(here.Ask("/safe/").status == 500);
