--- a/src/host/process/load_reports.cc
+++ b/src/host/process/load_reports.cc
@@ -63,22 +63,22 @@
 void load_reports::Report(bool follows_store) {
   wire::host_load load;
   load.servers = core_.servers.OwnLoads();
-  SetStoreAge(mirror_.NewestAnswer(), load);
+  SetStoreAge(mirror_.NewestResponse(), load);
   const auto holder = placement_.holder();
   const bool has_usage = !load.servers.empty();
   const bool reported_usage = std::exchange(reported_any_usage_, has_usage);
   if (holder) {
     const std::string value = wire::Encode(load);
-    peers_.Tell(
+    peers_.Send(
         std::string(kLoadRecord), value,
         {has_usage || reported_usage ? kMaxReportRecipients : kIdleRecipients});
     if (follows_store && mirror_.IsCurrent()) {
-      peers_.Tell(std::string(kLoadRecord), value,
+      peers_.Send(std::string(kLoadRecord), value,
                   {kAllHosts, {}, std::nullopt, core_.settings.zone});
     }
   }
   load.models = core_.demand.Loads();
-  peers_.Tell(std::string(kDemandRecord), wire::Encode(load),
+  peers_.Send(std::string(kDemandRecord), wire::Encode(load),
               {holder ? 0 : kMaxReportRecipients, {}, holder});
 }
 
@@ -88,7 +88,7 @@
     return;
   wire::host_load load;
   load.servers.push_back(server_registry::OwnLoad(server));
-  peers_.Tell(std::string(kUsageRecord), wire::Encode(load),
+  peers_.Send(std::string(kUsageRecord), wire::Encode(load),
               {kMaxReportRecipients, server.entry.instance, std::nullopt});
 }
 
@@ -105,7 +105,7 @@
     return true;
   }
   if (load->store_age_ms >= 0)
-    mirror_.HearAnswer(ReportedResponseOf(*load));
+    mirror_.RecordReportedResponse(ReportedResponseOf(*load));
   core_.servers.ReplaceLoads(record.sender, load->servers);
   if (with_demand)
     placement_.UpdateDemand(record.sender, load->models);
--- a/src/host/process/order_dispatcher.cc
+++ b/src/host/process/order_dispatcher.cc
@@ -132,13 +132,13 @@
 asio::awaitable<void> order_dispatcher::QueryState(engine_ptr engine) {
   engine->query_at.reset();
   const auto& entry = engine->server->entry;
-  auto request = core_.speech.make_state_request(entry.instance);
+  auto request = core_.protocol.make_state_request(entry.instance);
   const auto response = co_await core_.http.Fetch(
       entry.address, std::move(request), kOrderTimeout);
   engine->querying = false;
   const bool responded = response && response->result_int() == 200;
   const auto state = responded
-                         ? core_.speech.decode_state(response->body())
+                         ? core_.protocol.decode_state(response->body())
                          : base::result<catalog::engine_state>(base::NotRun(
                                result_code::kPeerUnreachable, "no state"));
   // The response may be older than the last accepted order.
@@ -186,14 +186,14 @@
   if (order.term == 0)
     co_return order_reply::kFenced;
   engine->sending = true;
-  auto request = core_.speech.make_order(order);
+  auto request = core_.protocol.make_order(order);
   const auto response = co_await core_.http.Fetch(
       engine->server->entry.address, std::move(request), kOrderTimeout);
   engine->sending = false;
   order_reply reply = order_reply::kUnknown;
   if (response)
-    reply =
-        core_.speech.read_order_reply(static_cast<int>(response->result_int()));
+    reply = core_.protocol.read_order_reply(
+        static_cast<int>(response->result_int()));
   // For an adapter without requests, the unload is complete at once
   // (kAlreadyInEffect) and still counts as an accepted order.
   const bool counted = reply == order_reply::kAccepted ||
--- /dev/null
+++ b/src/host/process/owner_services.cc
@@ -0,0 +1,111 @@
+// SPDX-License-Identifier: MIT
+#include "host/process/owner_services.h"
+
+#include <string>
+#include <utility>
+
+namespace valeledge::host {
+
+namespace {
+
+namespace asio = boost::asio;
+
+// Subjects for choosing the owner host, followed by the name of the workspace
+// or service.
+constexpr std::string_view kLimitSubject = "limit/";
+constexpr std::string_view kSlotSubject = "places/";
+
+// The owner is called for each request, so a host with a wide link is
+// preferred.
+constexpr std::int32_t kPreferredRoles = membership::kWideLink;
+
+}  // namespace
+
+owner_services::owner_services(host_core& core, peer_link& peers)
+    : core_(core),
+      peers_(peers),
+      limits_(core, MakeLimitCallbacks()),
+      slots_(core, MakeSlotCallbacks()) {
+  core_.acquire_limit = [this](std::string workspace, double count) {
+    return limits_.Acquire(std::move(workspace), count);
+  };
+  core_.release_limit = [this](const std::string& workspace, double count) {
+    limits_.Release(workspace, count);
+  };
+  if (!core_.settings.allocates_slots)
+    return;
+  core_.acquire_slot = [this](slot_request request) {
+    return slots_.Acquire(std::move(request));
+  };
+}
+
+workspace_limit_callbacks owner_services::MakeLimitCallbacks() {
+  workspace_limit_callbacks callbacks;
+  callbacks.owner = [this](const std::string& workspace) {
+    return peers_.FirstHealthy(std::string(kLimitSubject) + workspace,
+                               kPreferredRoles);
+  };
+  callbacks.members = [this] {
+    decisions::limit_members members;
+    members.visible_fraction = peers_.VisibleFraction();
+    members.known = peers_.CountKnown();
+    members.is_complete = peers_.AreAllHealthy();
+    return members;
+  };
+  callbacks.call = [this](base::endpoint where, wire::envelope call,
+                          std::chrono::microseconds timeout) {
+    return peers_.Call(std::move(where), std::move(call), timeout);
+  };
+  callbacks.suspect = [this](const base::endpoint& owner) {
+    peers_.Suspect(owner);
+  };
+  return callbacks;
+}
+
+slot_allocator_links owner_services::MakeSlotCallbacks() {
+  slot_allocator_links callbacks;
+  callbacks.allocator = [this](const std::string& service) {
+    return peers_.FirstHealthy(std::string(kSlotSubject) + service,
+                               kPreferredRoles);
+  };
+  callbacks.call = [this](base::endpoint where, wire::envelope call,
+                          std::chrono::microseconds timeout) {
+    return peers_.Call(std::move(where), std::move(call), timeout);
+  };
+  callbacks.suspect = [this](const base::endpoint& allocator) {
+    peers_.Suspect(allocator);
+  };
+  return callbacks;
+}
+
+void owner_services::OnMemberJoined() {
+  limits_.OnMemberJoined(std::chrono::steady_clock::now());
+}
+
+void owner_services::Tick(base::time_point now) {
+  limits_.Tick(now);
+  slots_.ReleaseExpired(now);
+}
+
+bool owner_services::Handles(const wire::envelope& call) {
+  return call.__isset.limit_wanted || call.__isset.place_wanted ||
+         call.__isset.place_ended;
+}
+
+asio::awaitable<wire::envelope> owner_services::HandleCall(
+    wire::envelope call) {
+  wire::envelope reply;
+  if (call.__isset.limit_wanted) {
+    reply.__set_limit(limits_.HandleRequest(call.limit_wanted));
+  } else if (call.__isset.place_wanted) {
+    const auto slot =
+        co_await slots_.HandleRequest(std::move(call.place_wanted));
+    reply.__set_place(slot);
+  } else {
+    slots_.HandleRelease(call.place_ended);
+    reply.__set_done({});
+  }
+  co_return reply;
+}
+
+}  // namespace valeledge::host
--- a/src/host/process/placement_controller.cc
+++ b/src/host/process/placement_controller.cc
@@ -399,7 +399,7 @@
   const std::size_t count = std::min(kMaxEnginesPerUpdate, engines.size());
   for (std::size_t i = 0; i < count; ++i)
     some.push_back(engines[next_republished_++ % engines.size()]);
-  peers_.Tell(std::string(kPlacementRecord), wire::Encode(MakeUpdate(some)),
+  peers_.Send(std::string(kPlacementRecord), wire::Encode(MakeUpdate(some)),
               {kMaxReportRecipients, {}, std::nullopt});
 }
 
--- /dev/null
+++ b/src/host/process/shutdown_controller.h
@@ -0,0 +1,43 @@
+// SPDX-License-Identifier: MIT
+// Stops a host gracefully: notifies other hosts, finishes requests in progress,
+// and accepts new requests while callers still send them.
+#ifndef VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
+#define VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
+
+#include <functional>
+
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/signal_set.hpp>
+
+#include "host/process/host_core.h"
+#include "net/http_server.h"
+
+namespace valeledge::host {
+
+class shutdown_controller {
+ public:
+  // `on_started` is called once, when the stop begins. The event loop is
+  // stopped at its end.
+  shutdown_controller(host_core& core,
+                      net::http_server& callers,
+                      std::function<void()> on_started);
+
+  // Starts waiting for SIGTERM and SIGINT.
+  void Start();
+  // Whether this host is stopping and must not take on responsibilities.
+  bool stopping() const { return stopping_; }
+
+ private:
+  boost::asio::awaitable<void> AwaitSignal();
+  boost::asio::awaitable<void> Stop();
+
+  host_core& core_;
+  net::http_server& callers_;
+  std::function<void()> on_started_;
+  boost::asio::signal_set signals_;
+  bool stopping_ = false;
+};
+
+}  // namespace valeledge::host
+
+#endif  // VALELEDGE_HOST_PROCESS_SHUTDOWN_CONTROLLER_H_
--- /dev/null
+++ b/src/host/process/workspace_limit_service.h
@@ -0,0 +1,96 @@
+// SPDX-License-Identifier: MIT
+// Enforces workspace limits across all hosts. Each limit has one owner host.
+// This service requests the cost of each request from the owner, and handles
+// such requests for the limits that this host owns.
+#ifndef VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
+#define VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
+
+#include <chrono>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+
+#include <boost/asio/awaitable.hpp>
+
+#include "base/endpoint.h"
+#include "decisions/workspace_limit.h"
+#include "host/process/host_core.h"
+#include "wire/generated/messages_types.h"
+
+namespace valeledge::host {
+
+// Dependencies on other components; called on the host's thread.
+struct workspace_limit_callbacks {
+  // The host that owns the limit of a workspace, if there is one.
+  std::function<std::optional<base::endpoint>(const std::string& workspace)>
+      owner;
+  // This host's view of the other hosts.
+  std::function<decisions::limit_members()> members;
+  std::function<boost::asio::awaitable<base::result<wire::envelope>>(
+      base::endpoint where,
+      wire::envelope call,
+      std::chrono::microseconds timeout)>
+      call;
+  // Reports that an owner did not respond.
+  std::function<void(const base::endpoint& owner)> suspect;
+};
+
+class workspace_limit_service {
+ public:
+  workspace_limit_service(host_core& core, workspace_limit_callbacks callbacks);
+
+  // Charges the cost of one request to the limit of its workspace. Returns an
+  // error if the request may not be sent. The workspace is passed by name,
+  // since it may be removed meanwhile.
+  boost::asio::awaitable<base::result<void>> Acquire(std::string workspace,
+                                                     double count);
+  // Refunds the cost of a request that did not run and never will.
+  void Release(const std::string& workspace, double count);
+
+  // Handles a request of another host.
+  wire::limit_reply HandleRequest(const wire::limit_question& request);
+
+  // Updates the set of owned limits as members join and leave. Must be called
+  // several times a second.
+  void Tick(base::time_point now);
+  // A host that was not known before has joined.
+  void OnMemberJoined(base::time_point now);
+
+ private:
+  // State that this host keeps for the owner of one limit.
+  struct owner_state {
+    decisions::limit_allowance allowance;
+    // The owner did not respond. Until it does, only one request at a time is
+    // sent to it.
+    bool is_unresponsive = false;
+    bool has_pending_request = false;
+  };
+
+  boost::asio::awaitable<std::optional<wire::limit_reply>> RequestWithRetry(
+      wire::limit_question request);
+  // Whether this host started recently.
+  bool HasJustStarted(base::time_point now) const;
+  bool OwnsLimit(const std::string& workspace) const;
+  // Returns null if the workspace has no limit.
+  const catalog::workspace_limit* FindLimit(const std::string& name) const;
+  boost::asio::awaitable<std::optional<wire::limit_reply>> RequestFromOwner(
+      wire::limit_question request);
+  base::result<void> EvaluateReply(
+      const std::string& workspace,
+      double count,
+      const std::optional<wire::limit_reply>& reply);
+
+  // Logs the usage of the limits that this host owns.
+  void LogUsage(base::time_point now);
+
+  host_core& core_;
+  workspace_limit_callbacks callbacks_;
+  std::map<std::string, decisions::limiter_state> limiters_;
+  std::map<std::string, owner_state> owner_states_;
+  base::time_point logged_at_;
+};
+
+}  // namespace valeledge::host
+
+#endif  // VALELEDGE_HOST_PROCESS_WORKSPACE_LIMIT_SERVICE_H_
--- a/src/host/request/caller_authentication.cc
+++ b/src/host/request/caller_authentication.cc
@@ -25,7 +25,7 @@
   if (!configuration.needs_keys || routed.route->is_public)
     return std::nullopt;
   routed.workspace = configuration.FindWorkspace(routed.metadata.key);
-  const auto age = decisions::DataAge(core.certainty, base::boot_clock::now());
+  const auto age = decisions::DataAge(core.freshness, base::boot_clock::now());
   switch (decisions::CheckKey(routed.workspace != nullptr, age,
                               core.settings.keys)) {
     case decisions::key_verdict::kValid:
--- a/src/host/request/crash_monitor.cc
+++ b/src/host/request/crash_monitor.cc
@@ -67,13 +67,13 @@
   if (!decisions::MayHaveCrashedServer(BrokenAttemptOf(progress, failed)))
     return;
   const auto now = std::chrono::steady_clock::now();
-  core_.server_ended(Digest(), {server.key, progress.sent, now});
+  core_.server_crashed(Digest(), {server.key, progress.sent, now});
 }
 
 void crash_monitor::OnSuccessfulResponse() {
   // Usually there are no suspects, and the digest need not be computed.
   if (!core_.quarantine.suspects.empty())
-    core_.suspect_answered(Digest());
+    core_.suspect_completed(Digest());
 }
 
 }  // namespace valeledge::host
--- a/src/host/request/relay.cc
+++ b/src/host/request/relay.cc
@@ -10,7 +10,7 @@
 #include <boost/beast/http.hpp>
 
 #include "host/constants.h"
-#include "host/process/limit_reading.h"
+#include "host/process/limit_updates.h"
 #include "host/request/attempt_progress.h"
 #include "host/request/caller_authentication.h"
 #include "host/request/crash_monitor.h"
@@ -187,7 +187,7 @@
     const auto event = events.Next();
     if (!event)
       break;
-    const auto id = core_.speech.read_event_id(*event);
+    const auto id = core_.protocol.read_event_id(*event);
     if (id && !trace_.last_event_id.empty()) {
       const std::int64_t last = std::atoll(trace_.last_event_id.c_str());
       // A server that resumes a stream may repeat events that the caller
@@ -261,7 +261,8 @@
 
 asio::awaitable<attempt_outcome> relay::Attempt(const server_choice& choice) {
   known_server& server = *choice.server;
-  auto forwarded = ForwardableRequest(request_, core_.speech.end_to_end_fields);
+  auto forwarded =
+      ForwardableRequest(request_, core_.protocol.end_to_end_fields);
   attempt_metadata attempt_fields;
   attempt_fields.deadline = std::max(RemainingTime(routed_), milliseconds(1));
   attempt_fields.instance = server.entry.instance;
@@ -271,7 +272,7 @@
       trace_.response_started || !routed_.metadata.resume_after.empty();
   if (is_resumed)
     attempt_fields.resume_after = trace_.last_event_id;
-  core_.speech.write_attempt(forwarded, attempt_fields);
+  core_.protocol.write_attempt(forwarded, attempt_fields);
   milliseconds header_timeout = RemainingTime(routed_);
   if (routed_.route->MayRepeat() &&
       possible_executions_ + 1 < routed_.route->attempts) {
@@ -305,7 +306,7 @@
       open->Abandon();
   });
   const response_metadata metadata =
-      core_.speech.read_response(exchange.header());
+      core_.protocol.read_response(exchange.header());
   const bool is_foreign = !metadata.request_id.empty() &&
                           metadata.request_id != routed_.metadata.id;
   if (is_foreign ||
@@ -317,7 +318,7 @@
         "the response is unsigned or belongs to another request");
     co_return attempt_outcome::kUnknown;
   }
-  ReadLimit(core_, server, metadata, progress_.sent);
+  ApplyResponseLimit(core_, server, metadata, progress_.sent);
   if (metadata.not_run || metadata.misdirected) {
     attempt.OnRefused(metadata);
     last_error_ =
@@ -406,7 +407,7 @@
     co_return;
   }
   trace_.last_event_id = routed_.metadata.resume_after;
-  core_.retries.NoteRequest(routed_.service->name, routed_.arrived);
+  core_.retries.RecordRequest(routed_.service->name, routed_.arrived);
   guard_ = std::make_shared<net::open_guard>();
   responder_.OnCallerGone([guard = guard_] { guard->Cancel(); });
   if (const auto leaving = CheckStopDeadline(core_, routed_)) {
--- a/src/host/request/routed_request.cc
+++ b/src/host/request/routed_request.cc
@@ -54,7 +54,7 @@
                   routed_request& routed) {
   if (!FindRoute(core, request, routed))
     return false;
-  routed.metadata = core.speech.read_request(request);
+  routed.metadata = core.protocol.read_request(request);
   const request_metadata& metadata = routed.metadata;
   milliseconds allowed = routed.route->timeout;
   if (metadata.deadline)
@@ -102,7 +102,7 @@
 }
 
 base::error NoRouteError(const host_core& core) {
-  if (!core.is_behind()) {
+  if (!core.is_stale()) {
     return base::MakeError(base::result_code::kUnknownPath,
                            base::outcome::kNotRun,
                            "no route matches this host and path");
--- a/src/host/request/server_attempt.cc
+++ b/src/host/request/server_attempt.cc
@@ -46,7 +46,7 @@
   // A server that was suspended receives one request as a trial.
   if (server_->trust.last_suspension.count() != 0)
     server_->trust.probing = true;
-  core_.use_changed(*server_);
+  core_.load_changed(*server_);
   if (slot_)
     slot_->NoteSent();
   tokens_ahead_ = server_->own.unread_tokens + server_->others.unread_tokens;
@@ -61,7 +61,7 @@
   server_->trust.probing = false;
   // The end of a stream is sent with the next periodic report.
   if (awaiting_first_byte_)
-    core_.use_changed(*server_);
+    core_.load_changed(*server_);
 }
 
 void server_attempt::OnFirstByte() {
@@ -69,7 +69,7 @@
     return;
   awaiting_first_byte_ = false;
   server_->own.unread_tokens -= weight_.prompt_tokens;
-  core_.use_changed(*server_);
+  core_.load_changed(*server_);
   const milliseconds took = std::chrono::steady_clock::now() - started_at_;
   core_.metrics.Distribution("valeledge_first_byte_seconds")
       .Record(std::chrono::steady_clock::now() - started_at_);
--- a/src/host/request/server_search.cc
+++ b/src/host/request/server_search.cc
@@ -63,7 +63,7 @@
                            "no backend server has loaded the adapter yet");
   }
   const request_metadata& metadata = routed.metadata;
-  const auto holder = co_await core.want_adapter(
+  const auto holder = co_await core.request_adapter(
       routed.service->name, metadata.model, metadata.adapter, timeout);
   if (!holder)
     co_return tl::make_unexpected(holder.error());
@@ -162,13 +162,13 @@
 asio::awaitable<bool> AcquirePermit(host_core& core,
                                     const routed_request& routed,
                                     const server_choice& choice) {
-  if (!core.take_permit) {
+  if (!core.acquire_permit) {
     choice.server->permit_retry_at =
         std::chrono::steady_clock::now() + kDefaultRetryAfter;
     co_return false;
   }
   const bool granted =
-      co_await core.take_permit(choice.server, PriorityOf(routed));
+      co_await core.acquire_permit(choice.server, PriorityOf(routed));
   if (!granted)
     co_return false;
   co_return choice.server->TakesRequests();
@@ -180,7 +180,7 @@
     host_core& core,
     const routed_request& routed,
     server_choice local_choice) {
-  if (!core.take_place)
+  if (!core.acquire_slot)
     co_return std::move(local_choice);
   const auto now = std::chrono::steady_clock::now();
   slot_request slot_request;
@@ -188,7 +188,7 @@
   slot_request.priority = PriorityOf(routed);
   slot_request.left = RemainingObjective(routed, now);
   slot_request.avoid = ExcludedInstances(core, routed, now);
-  auto slot = co_await core.take_place(std::move(slot_request));
+  auto slot = co_await core.acquire_slot(std::move(slot_request));
   if (!slot)
     co_return tl::make_unexpected(slot.error());
   if (*slot == nullptr)
--- a/tests/auto/host/test_caller_keys.cc
+++ b/tests/auto/host/test_caller_keys.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Callers show a key; their workspace is told to servers, the key never.
+// Callers authenticate with a key. Their workspace is forwarded to servers, the
+// key never is.
 #include <string>
 #include <utility>
 #include <vector>
@@ -27,13 +28,13 @@
     configuration.workspaces.push_back({"band", {"key-three"}, {}});
     configuration.keys = catalog::key_index(configuration.workspaces);
     core->settings.keys = {5s, 3s};
-    BeCertainAsOf(0s);
+    SetFreshness(0s);
     AddServer("i-1", first.address());
   }
 
-  // What is known was complete so long ago.
-  void BeCertainAsOf(std::chrono::milliseconds age) {
-    core->certainty.complete_as_of = base::boot_clock::now() - age;
+  // Sets the age of this host's knowledge of the keys.
+  void SetFreshness(std::chrono::milliseconds age) {
+    core->freshness.complete_as_of = base::boot_clock::now() - age;
   }
 
   received_response SendRequestAs(const caller_fields& fields,
@@ -45,7 +46,7 @@
 
 BOOST_AUTO_TEST_SUITE(caller_keys)
 
-BOOST_AUTO_TEST_CASE(the_workspace_is_told_and_the_key_is_not) {
+BOOST_AUTO_TEST_CASE(the_workspace_is_forwarded_and_the_key_is_not) {
   keyed_world here;
   for (const std::string key : {"key-one", "key-two"}) {
     BOOST_TEST(here.SendRequestAs({{"Api-Key", key}}).status == 200);
@@ -57,7 +58,7 @@
   BOOST_TEST(here.first.requests.back()["X-Tenant"] == "band");
 }
 
-BOOST_AUTO_TEST_CASE(who_has_no_good_key_is_refused_and_reaches_no_server) {
+BOOST_AUTO_TEST_CASE(callers_without_a_valid_key_are_refused) {
   keyed_world here;
   const std::vector<caller_fields> wrong = {
       {},
@@ -68,16 +69,16 @@
       {{"X-Tenant", "choir"}},
   };
   for (const caller_fields& fields : wrong) {
-    const received_response seen = here.SendRequestAs(fields);
-    BOOST_TEST(seen.status == 401);
-    BOOST_TEST(seen.body.find("key-") == std::string::npos);
+    const received_response received = here.SendRequestAs(fields);
+    BOOST_TEST(received.status == 401);
+    BOOST_TEST(received.body.find("key-") == std::string::npos);
   }
   BOOST_TEST(here.first.requests.empty());
 }
 
-// Whatever a caller sends under the names that this system sets, the server
-// gets one field, and what this system says.
-BOOST_AUTO_TEST_CASE(what_the_system_sets_is_set_last) {
+// Whatever a caller sends under the field names that the host sets, the server
+// receives exactly one field with the host's value.
+BOOST_AUTO_TEST_CASE(fields_set_by_the_host_override_caller_fields) {
   keyed_world here;
   const caller_fields key{{"Api-Key", "key-one"}};
   const std::vector<caller_fields> spoofs = {
@@ -102,7 +103,7 @@
 }
 
 // RFC 9110, 7.6.1.
-BOOST_AUTO_TEST_CASE(fields_of_one_connection_end_there) {
+BOOST_AUTO_TEST_CASE(hop_by_hop_fields_are_not_forwarded) {
   keyed_world here;
   here.SendRequestAs({{"Api-Key", "key-one"},
                       {"Connection", "keep-alive, X-Hop"},
@@ -111,16 +112,17 @@
   BOOST_REQUIRE(here.first.requests.size() == 1u);
   const net::http_request& sent = here.first.requests.back();
   BOOST_TEST(sent.count("X-Hop") == 0u);
-  // These are for the server, whatever the caller says.
+  // These fields are meant for the server, even if the caller names them in
+  // Connection.
   BOOST_TEST(sent["X-Request-Id"] == "9c41");
   BOOST_TEST(sent[http::field::host] == "a.example");
 }
 
-BOOST_AUTO_TEST_CASE(public_routes_need_no_key_and_tell_no_workspace) {
+BOOST_AUTO_TEST_CASE(public_routes_need_no_key_and_forward_no_workspace) {
   keyed_world here;
   for (catalog::route& each : here.configuration.routes)
     each.is_public = true;
-  here.BeCertainAsOf(1h);
+  here.SetFreshness(1h);
   BOOST_TEST(
       here.SendRequestAs({{"X-Tenant", "choir"}, {"Api-Key", "x"}}).status ==
       200);
@@ -129,7 +131,7 @@
   BOOST_TEST(sent.count("Api-Key") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(without_workspaces_nothing_is_asked_for) {
+BOOST_AUTO_TEST_CASE(without_workspaces_no_key_is_required) {
   relay_world here;
   here.AddServer("i-1", here.first.address());
   here.added_fields = {{"X-Tenant", "choir"}};
@@ -137,26 +139,25 @@
   BOOST_TEST(here.first.requests.back().count("X-Tenant") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_host_that_cannot_tell_says_so_and_not_that_a_key_is_bad) {
+BOOST_AUTO_TEST_CASE(a_host_with_stale_keys_responds_503_instead_of_401) {
   keyed_world here;
   const caller_fields good{{"Api-Key", "key-one"}};
   const caller_fields unknown{{"Api-Key", "key-new"}};
-  here.BeCertainAsOf(4s);
+  here.SetFreshness(4s);
   BOOST_TEST(here.SendRequestAs(good).status == 200);
-  const received_response early = here.SendRequestAs(unknown);
-  BOOST_TEST(early.status == 503);
-  BOOST_TEST(!early.fields[http::field::retry_after].empty());
-  here.BeCertainAsOf(5s);
+  const received_response refused = here.SendRequestAs(unknown);
+  BOOST_TEST(refused.status == 503);
+  BOOST_TEST(!refused.fields[http::field::retry_after].empty());
+  here.SetFreshness(5s);
   BOOST_TEST(here.SendRequestAs(good).status == 503);
   BOOST_TEST(here.first.requests.size() == 1u);
-  here.core->certainty.complete_as_of.reset();
+  here.core->freshness.complete_as_of.reset();
   BOOST_TEST(here.SendRequestAs(good).status == 503);
-  here.BeCertainAsOf(0s);
+  here.SetFreshness(0s);
   BOOST_TEST(here.SendRequestAs(good).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_workspaces_rank_goes_before_its_routes) {
+BOOST_AUTO_TEST_CASE(a_workspaces_priority_overrides_the_routes) {
   keyed_world here;
   here.AddEngine(1s);
   here.configuration.routes.front().priority = 2;
--- a/tests/auto/host/test_relay.cc
+++ b/tests/auto/host/test_relay.cc
@@ -327,7 +327,7 @@
   here.configuration.routes.clear();
   BOOST_TEST(here.SendRequest("/once/").status == 404);
   // A host whose configuration is stale does not report a path as unknown.
-  here.core->is_behind = [] { return true; };
+  here.core->is_stale = [] { return true; };
   const auto early = here.SendRequest("/other/");
   BOOST_TEST(early.status == 503);
   net::http_request request;
--- a/tests/auto/host/test_server_limits.cc
+++ b/tests/auto/host/test_server_limits.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Rate limits that backend servers advertise, as a host sees them.
+// Rate limits that backend servers advertise, within one host.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -27,8 +27,8 @@
 BOOST_AUTO_TEST_CASE(a_limit_is_known_until_a_response_lacks_it) {
   relay_world here;
   here.AddServer("i-1", here.first.address());
-  here.core->take_permit = [](const auto&,
-                              std::int64_t) -> boost::asio::awaitable<bool> {
+  here.core->acquire_permit = [](const auto&,
+                                 std::int64_t) -> boost::asio::awaitable<bool> {
     co_return true;
   };
   here.first.script = {{WithLimit("50")}, {WithLimit("few")}, {kWholeResponse}};
@@ -45,28 +45,28 @@
   BOOST_TEST(!server->IsLimited());
 }
 
-// What cannot be sent in time is refused at once, with when to come back.
+// A request that cannot be sent in time is refused at once with a retry-after
+// delay.
 BOOST_AUTO_TEST_CASE(a_request_without_a_permit_is_refused_at_once) {
   relay_world here;
   here.AddServer("i-1", here.first.address());
   here.first.script = {{WithLimit("1")}};
   here.SendRequest("/once/");
-  here.core->take_permit = [](std::shared_ptr<host::known_server> server,
-                              std::int64_t) -> boost::asio::awaitable<bool> {
+  here.core->acquire_permit = [](std::shared_ptr<host::known_server> server,
+                                 std::int64_t) -> boost::asio::awaitable<bool> {
     server->permit_retry_at = std::chrono::steady_clock::now() + 700ms;
     co_return false;
   };
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const received_response refused = here.SendRequest("/once/");
-  BOOST_TEST((std::chrono::steady_clock::now() - begun < 200ms));
+  BOOST_TEST((std::chrono::steady_clock::now() - start < 200ms));
   BOOST_TEST(refused.status == 503);
   BOOST_TEST(refused.body.find("2014") != std::string::npos);
   BOOST_TEST(!refused.fields[http::field::retry_after].empty());
   BOOST_TEST(here.first.requests.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(
-    a_server_without_a_limit_takes_what_a_limited_one_does_not) {
+BOOST_AUTO_TEST_CASE(an_unlimited_server_receives_what_a_limited_one_cannot) {
   relay_world here;
   here.AddServer("i-1", here.first.address());
   here.first.script = {{WithLimit("1")}};
@@ -78,28 +78,29 @@
   BOOST_TEST(here.second.requests.size() == 10u);
 }
 
-// The only engine with the model has no permit, and another one loads it.
+// The only engine with the model has no permit available, and another one loads
+// the model.
 BOOST_AUTO_TEST_CASE(a_request_without_a_permit_waits_for_a_replica_in_time) {
   relay_world here;
   here.AddEngine(10s);
-  const auto hold = [&here](const std::string& instance) {
+  const auto load_model = [&here](const std::string& instance) {
     auto entry = here.core->servers.Find(instance)->entry;
     entry.models.push_back({here.model, 1, {}});
     here.core->servers.Put(entry, std::chrono::steady_clock::now());
   };
-  hold("i-1");
+  load_model("i-1");
   here.AddServer("i-2", here.second.address());
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const auto limited = here.core->servers.Find("i-1");
-  limited->advertised.limit = {1, begun};
-  limited->permit_retry_at = begun + 10s;
+  limited->advertised.limit = {1, start};
+  limited->permit_retry_at = start + 10s;
   const auto loading = here.core->servers.Find("i-2");
-  loading->loads_due[host::KeyOf(here.model)] = begun + 400ms;
+  loading->loads_due[host::KeyOf(here.model)] = start + 400ms;
   const received_response seen =
       here.SendRequest("/once/", [&](fake_responder&) {
-        const auto waited = std::chrono::steady_clock::now() - begun;
+        const auto waited = std::chrono::steady_clock::now() - start;
         if (waited >= 300ms && loading->entry.models.empty())
-          hold("i-2");
+          load_model("i-2");
       });
   BOOST_TEST(seen.status == 200);
   BOOST_TEST(here.first.requests.empty());
