--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -164,7 +164,7 @@
            },
            [this] {
              return peers_.ChosenAddresses(std::string(kReadDuty), kReaders,
-                                           membership::kWideLink);
+                                           membership::kHighBandwidth);
            },
            [this] { return mirror_.revision(); }}),
       owned_(core_, peers_),
@@ -405,7 +405,7 @@
 bool host::FollowsStore() {
   return !stop_.stopping() &&
          peers_.IsChosen(std::string(kFollowDuty), kFollowersPerZone,
-                         peer_link::scope::kZone, membership::kWideLink);
+                         peer_link::scope::kZone, membership::kHighBandwidth);
 }
 
 // The hosts that are chosen for a server are told at once what others send
--- a/src/host/process/owner_duties.cc
+++ b/src/host/process/owner_duties.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kPlaceSubject = "places/";
 
 // Asked for each request, a host should have more to spend than others.
-constexpr std::int32_t kPreferred = membership::kWideLink;
+constexpr std::int32_t kPreferred = membership::kHighBandwidth;
 
 }  // namespace
 
--- a/src/host/process/peer_link.cc
+++ b/src/host/process/peer_link.cc
@@ -13,7 +13,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "host/constants.h"
-#include "membership/choices.h"
+#include "membership/selection_cache.h"
 #include "wire/codec.h"
 
 namespace valeledge::host {
@@ -41,7 +41,7 @@
 std::int32_t RolesOf(const host_settings& settings) {
   std::int32_t roles = membership::kGateway | membership::kController;
   if (settings.link_bytes_per_second >= kWideLinkBytes)
-    roles |= membership::kWideLink;
+    roles |= membership::kHighBandwidth;
   return roles;
 }
 
@@ -119,7 +119,7 @@
 }
 
 void peer_link::Publish(membership::gossip_events events) {
-  for (const membership::outgoing& each : events.datagrams) {
+  for (const membership::outgoing_datagram& each : events.datagrams) {
     const std::string bytes = wire::Encode(each.message);
     told_bytes_[KindOf(each.message)] +=
         static_cast<std::int64_t>(bytes.size() * each.to.size());
@@ -149,8 +149,8 @@
 
 void peer_link::Tell(const std::string& key,
                      std::string value,
-                     const membership::direct_audience& audience) {
-  Publish(membership::TellDirectly(gossip_, key, std::move(value), audience,
+                     const membership::direct_recipients& audience) {
+  Publish(membership::SendDirectly(gossip_, key, std::move(value), audience,
                                    random_));
 }
 
@@ -185,7 +185,7 @@
                          std::int32_t prefers) {
   const std::string zone = among == scope::kZone ? gossip_.self.zone : "";
   const auto& chosen =
-      membership::ChosenMembers(gossip_, {subject, zone, count, prefers});
+      membership::SelectMembers(gossip_, {subject, zone, count, prefers});
   return std::ranges::find(chosen, gossip_.self.id) != chosen.end();
 }
 
@@ -195,7 +195,7 @@
     std::int32_t prefers) {
   std::vector<base::endpoint> out;
   for (const std::string& id :
-       membership::ChosenMembers(gossip_, {subject, {}, count, prefers})) {
+       membership::SelectMembers(gossip_, {subject, {}, count, prefers})) {
     const auto known = gossip_.others.find(id);
     if (known != gossip_.others.end())
       out.push_back(known->second.address);
@@ -212,7 +212,7 @@
   const auto alive =
       static_cast<std::int32_t>(membership::member_health::kAlive);
   for (const std::string& id :
-       membership::ChosenMembers(gossip_, {subject, {}, kLooked, prefers})) {
+       membership::SelectMembers(gossip_, {subject, {}, kLooked, prefers})) {
     if (id == gossip_.self.id)
       return listen_;
     const auto known = gossip_.others.find(id);
--- a/src/host/process/peer_link.h
+++ b/src/host/process/peer_link.h
@@ -54,7 +54,7 @@
   // Tells a fact of this host to others.
   void Tell(const std::string& key,
             std::string value,
-            const membership::direct_audience& audience);
+            const membership::direct_recipients& audience);
   // Tells a fact to all other hosts: where there are many, to those of this
   // availability zone, and to some of each other zone, which hand it on.
   // `encode`: the value for those that hand it on, or for all others.
--- a/src/host/process/quarantine_duty.h
+++ b/src/host/process/quarantine_duty.h
@@ -34,7 +34,7 @@
 struct quarantine_links {
   // Tells other hosts directly.
   std::function<void(const std::string& value,
-                     const membership::direct_audience& audience)>
+                     const membership::direct_recipients& audience)>
       tell;
   // Whether this host is the first of those that are chosen for a subject.
   std::function<bool(const std::string& subject)> is_first;
--- a/src/membership/gossip.cc
+++ b/src/membership/gossip.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "membership/gossip_direct.h"
-#include "membership/gossip_news.h"
+#include "membership/gossip_updates.h"
 #include "membership/gossip_sync.h"
 
 namespace valeledge::membership {
@@ -13,25 +13,25 @@
 namespace {
 
 using detail::AddRumor;
-using detail::AskForAll;
-using detail::AttachNews;
+using detail::AttachUpdates;
+using detail::InvalidateSelections;
 using detail::IsDead;
-using detail::IsFresh;
+using detail::IsNewIncarnation;
 using detail::known_member;
-using detail::NoteMemberChanged;
-using detail::PickOthers;
-using detail::SendAll;
-using detail::SendAllIfDifferent;
-using detail::WantsAll;
+using detail::PickRandomMembers;
+using detail::RequestsFullSync;
+using detail::SendFullState;
+using detail::SendFullStateIfDifferent;
+using detail::ShouldRequestFullSync;
 
 // Members asked to probe one that did not answer.
 constexpr std::size_t kIndirectProbes = 2;
 
 // Suspects are found overdue so much later at the most. Walking 294 members at
 // each tick showed among the first of what an idle host did (sampled profile).
-constexpr auto kJudgeInterval = std::chrono::milliseconds(250);
+constexpr auto kExpiryCheckInterval = std::chrono::milliseconds(250);
 
-// Relayed pings are forgotten after this many probe timeouts.
+// Relayed pings are expired after this many probe timeouts.
 constexpr int kRelayTimeouts = 10;
 
 bool IsSuspect(const known_member& each) {
@@ -52,7 +52,7 @@
   message.sender = state.self;
   message.table_revision = state.table_revision;
   message.digest = static_cast<std::int64_t>(state.digest);
-  AttachNews(state, message);
+  AttachUpdates(state, message);
   return message;
 }
 
@@ -62,17 +62,17 @@
           gossip_kind kind,
           std::int64_t sequence,
           const std::string& target = {}) {
-  outgoing each{{to}, MakeMessage(state, kind, sequence)};
+  outgoing_datagram each{{to}, MakeMessage(state, kind, sequence)};
   each.message.target = target;
   events.datagrams.push_back(std::move(each));
 }
 
-void SpreadAtOnce(gossip_state& state,
-                  gossip_events& events,
-                  random_source& random) {
+void DisseminateNow(gossip_state& state,
+                    gossip_events& events,
+                    random_source& random) {
   const auto count = static_cast<std::size_t>(state.settings.fanout);
-  for (const known_member* each : PickOthers(state, count, {}, random))
-    Send(state, events, each->address, gossip_kind::kNews, 0);
+  for (const known_member* each : PickRandomMembers(state, count, {}, random))
+    Send(state, events, each->address, gossip_kind::kUpdates, 0);
 }
 
 void SetHealth(gossip_state& state,
@@ -84,17 +84,17 @@
   ToggleDigest(state, each.record);
   each.record.health = static_cast<std::int32_t>(health);
   ToggleDigest(state, each.record);
-  NoteMemberChanged(state.choices, &before, each.record);
-  each.since = now;
+  InvalidateSelections(state.selections, &before, each.record);
+  each.health_since = now;
   AddRumor(state, each.record.id, true);
   events.changed.push_back(each.record.id);
 }
 
 // An earlier run of this process had a higher incarnation: the clock has been
 // set back since.
-void OutdoEarlierRun(gossip_state& state,
-                     const member& earlier,
-                     gossip_events& events) {
+void SupersedeEarlierRun(gossip_state& state,
+                         const member& earlier,
+                         gossip_events& events) {
   ToggleDigest(state, state.self);
   state.self.incarnation = earlier.incarnation + 1;
   ToggleDigest(state, state.self);
@@ -103,23 +103,23 @@
 }
 
 // What others say of this process: contradicted unless it is alive.
-void HearOfSelf(gossip_state& state,
-                const member& heard,
-                gossip_events& events) {
+void HandleSelfUpdate(gossip_state& state,
+                      const member& received,
+                      gossip_events& events) {
   // At another address it is a later process of this name, which replaced this.
-  const bool earlier = heard.incarnation > state.self.incarnation &&
-                       heard.address == state.self.address;
+  const bool earlier = received.incarnation > state.self.incarnation &&
+                       received.address == state.self.address;
   if (earlier) {
-    OutdoEarlierRun(state, heard, events);
+    SupersedeEarlierRun(state, received, events);
     return;
   }
-  const bool same = heard.incarnation == state.self.incarnation;
+  const bool same = received.incarnation == state.self.incarnation;
   const bool worse =
-      heard.health != static_cast<std::int32_t>(member_health::kAlive);
-  if (!same || !worse || heard.health_version < state.self.health_version)
+      received.health != static_cast<std::int32_t>(member_health::kAlive);
+  if (!same || !worse || received.health_version < state.self.health_version)
     return;
   ToggleDigest(state, state.self);
-  state.self.health_version = heard.health_version + 1;
+  state.self.health_version = received.health_version + 1;
   ToggleDigest(state, state.self);
   AddRumor(state, state.self.id, true);
   events.refuted = true;
@@ -127,85 +127,85 @@
 
 // Tells a process that it is held for suspect or dead, or for the run before
 // it, so that it can object. `sender`: what it said of itself; null if nothing.
-void TellOfDoubt(gossip_state& state,
-                 const std::string& id,
-                 const member* sender,
-                 const base::endpoint& to,
-                 gossip_events& events) {
+void NotifyIfSuspected(gossip_state& state,
+                       const std::string& id,
+                       const member* sender,
+                       const base::endpoint& to,
+                       gossip_events& events) {
   const auto found = state.others.find(id);
   if (found == state.others.end())
     return;
-  const bool doubted = IsSuspect(found->second) || IsDead(found->second);
+  const bool suspected = IsSuspect(found->second) || IsDead(found->second);
   const bool outdated = sender != nullptr &&
                         sender->incarnation < found->second.record.incarnation;
-  if (!doubted && !outdated)
+  if (!suspected && !outdated)
     return;
-  Send(state, events, to, gossip_kind::kNews, 0);
+  Send(state, events, to, gossip_kind::kUpdates, 0);
   events.datagrams.back().message.updates.push_back(found->second.record);
 }
 
 // True if the news should travel on at once.
-bool HearOfMember(gossip_state& state,
-                  const member& heard,
-                  base::time_point now,
-                  gossip_events& events) {
-  if (heard.id == state.self.id) {
-    HearOfSelf(state, heard, events);
+bool HandleMemberUpdate(gossip_state& state,
+                        const member& received,
+                        base::time_point now,
+                        gossip_events& events) {
+  if (received.id == state.self.id) {
+    HandleSelfUpdate(state, received, events);
     return false;
   }
-  const auto address = base::ParseEndpoint(heard.address);
-  if (!address || heard.id.empty())
+  const auto address = base::ParseEndpoint(received.address);
+  if (!address || received.id.empty())
     return false;
-  auto found = state.others.find(heard.id);
+  auto found = state.others.find(received.id);
   if (found == state.others.end()) {
     const bool dead =
-        heard.health == static_cast<std::int32_t>(member_health::kDead);
+        received.health == static_cast<std::int32_t>(member_health::kDead);
     if (dead)
       return false;
-    state.others.emplace(heard.id, known_member{heard, *address, now});
-    ToggleDigest(state, heard);
-    NoteMemberChanged(state.choices, nullptr, heard);
-    AddRumor(state, heard.id, true);
-    events.changed.push_back(heard.id);
+    state.others.emplace(received.id, known_member{received, *address, now});
+    ToggleDigest(state, received);
+    InvalidateSelections(state.selections, nullptr, received);
+    AddRumor(state, received.id, true);
+    events.changed.push_back(received.id);
     return false;
   }
   known_member& known = found->second;
   const member before = known.record;
-  if (!Merge(known.record, heard))
+  if (!Merge(known.record, received))
     return false;
   state.digest ^= Digest(before) ^ Digest(known.record);
-  NoteMemberChanged(state.choices, &before, known.record);
+  InvalidateSelections(state.selections, &before, known.record);
   known.address = *address;
   if (known.record.health != before.health ||
       known.record.health_version != before.health_version) {
-    known.since = now;
+    known.health_since = now;
   }
-  AddRumor(state, heard.id, true);
-  events.changed.push_back(heard.id);
+  AddRumor(state, received.id, true);
+  events.changed.push_back(received.id);
   // Who waits for a process that has ended should learn of it at once, and of
-  // one that was doubted wrongly as well.
-  const bool doubted = known.record.health != before.health &&
-                       known.record.incarnation == before.incarnation;
-  return (known.record.leaving && !before.leaving) || doubted;
+  // one that was suspected wrongly as well.
+  const bool suspected = known.record.health != before.health &&
+                         known.record.incarnation == before.incarnation;
+  return (known.record.leaving && !before.leaving) || suspected;
 }
 
-void HearOfRecord(gossip_state& state,
-                  const soft_record& heard,
-                  gossip_events& events) {
-  const auto found = state.soft.records.find(heard.key);
+void HandleRecordUpdate(gossip_state& state,
+                        const soft_record& received,
+                        gossip_events& events) {
+  const auto found = state.soft.records.find(received.key);
   const std::uint64_t before =
       found == state.soft.records.end() ? 0 : Digest(found->second);
-  if (!Merge(state.soft, heard))
+  if (!Merge(state.soft, received))
     return;
-  state.digest ^= before ^ Digest(heard);
-  AddRumor(state, heard.key, false);
-  events.records.push_back(heard.key);
+  state.digest ^= before ^ Digest(received);
+  AddRumor(state, received.key, false);
+  events.records.push_back(received.key);
 }
 
 // Facts that a known member tells this one alone.
-void HearDirectly(const gossip_state& state,
-                  const wire::gossip_message& message,
-                  gossip_events& events) {
+void HandleDirectRecords(const gossip_state& state,
+                         const wire::gossip_message& message,
+                         gossip_events& events) {
   const auto sender = state.others.find(message.sender.id);
   if (sender == state.others.end())
     return;
@@ -218,28 +218,28 @@
   }
 }
 
-void EndProbe(gossip_state& state,
-              base::time_point now,
-              random_source& random,
-              gossip_events& events) {
-  const auto probed = std::exchange(state.probing, std::nullopt);
+void FailProbe(gossip_state& state,
+               base::time_point now,
+               random_source& random,
+               gossip_events& events) {
+  const auto probed = std::exchange(state.current_probe, std::nullopt);
   const auto found = state.others.find(probed->target);
   if (found == state.others.end() || IsDead(found->second))
     return;
   if (IsSuspect(found->second))
     return;
   SetHealth(state, found->second, member_health::kSuspect, now, events);
-  SpreadAtOnce(state, events, random);
+  DisseminateNow(state, events, random);
 }
 
 void ContinueProbe(gossip_state& state,
                    base::time_point now,
                    random_source& random,
                    gossip_events& events) {
-  detail::probe& probed = *state.probing;
+  detail::probe& probed = *state.current_probe;
   const auto waited = now - probed.sent;
   if (waited >= state.settings.probe_interval) {
-    EndProbe(state, now, random, events);
+    FailProbe(state, now, random, events);
     return;
   }
   if (probed.indirect || waited < state.settings.probe_timeout)
@@ -248,7 +248,7 @@
   const std::string target = probed.target;
   const std::int64_t sequence = probed.sequence;
   for (const known_member* each :
-       PickOthers(state, kIndirectProbes, target, random)) {
+       PickRandomMembers(state, kIndirectProbes, target, random)) {
     Send(state, events, each->address, gossip_kind::kPingRequest, sequence,
          target);
   }
@@ -272,10 +272,11 @@
     if (found == state.others.end() || IsDead(found->second))
       continue;
     const std::int64_t sequence = state.next_sequence++;
-    state.probing = detail::probe{target, sequence, now, false};
+    state.current_probe = detail::probe{target, sequence, now, false};
     Send(state, events, found->second.address, gossip_kind::kPing, sequence);
-    events.datagrams.back().message.wants_all = AskForAll(state, now);
-    TellOfDoubt(state, target, nullptr, found->second.address, events);
+    events.datagrams.back().message.wants_all =
+        ShouldRequestFullSync(state, now);
+    NotifyIfSuspected(state, target, nullptr, found->second.address, events);
     return;
   }
 }
@@ -300,24 +301,25 @@
   }
 }
 
-void JudgeSuspects(gossip_state& state,
+void ExpireMembers(gossip_state& state,
                    base::time_point now,
                    gossip_events& events) {
-  if (now < state.next_judgement)
+  if (now < state.next_expiry_check)
     return;
-  state.next_judgement = now + kJudgeInterval;
+  state.next_expiry_check = now + kExpiryCheckInterval;
   for (auto& [id, each] : state.others) {
-    const bool overdue = now - each.since >= state.settings.suspect_timeout;
+    const bool overdue =
+        now - each.health_since >= state.settings.suspect_timeout;
     if (IsSuspect(each) && overdue)
       SetHealth(state, each, member_health::kDead, now, events);
   }
   std::erase_if(state.others, [&](const auto& entry) {
     const known_member& each = entry.second;
-    const bool forgotten =
-        IsDead(each) && now - each.since >= state.settings.dead_retention;
-    if (forgotten)
+    const bool expired = IsDead(each) && now - each.health_since >=
+                                             state.settings.dead_retention;
+    if (expired)
       ToggleDigest(state, each.record);
-    return forgotten;
+    return expired;
   });
 }
 
@@ -327,10 +329,10 @@
                    base::time_point now,
                    random_source& random) {
   gossip_events events;
-  JudgeSuspects(state, now, events);
-  if (state.probing)
+  ExpireMembers(state, now, events);
+  if (state.current_probe)
     ContinueProbe(state, now, random, events);
-  if (now >= state.next_probe && !state.probing) {
+  if (now >= state.next_probe && !state.current_probe) {
     state.next_probe = now + state.settings.probe_interval;
     StartProbe(state, now, random, events);
     ContactSeeds(state, random, events);
@@ -348,16 +350,16 @@
                       random_source& random) {
   gossip_events events;
   if (message.kind == static_cast<std::int32_t>(gossip_kind::kDirect)) {
-    HearDirectly(state, message, events);
+    HandleDirectRecords(state, message, events);
     return events;
   }
-  const bool fresh = IsFresh(state, message.sender);
-  bool urgent = HearOfMember(state, message.sender, now, events);
+  const bool new_incarnation = IsNewIncarnation(state, message.sender);
+  bool urgent = HandleMemberUpdate(state, message.sender, now, events);
   for (const member& each : message.updates)
-    urgent |= HearOfMember(state, each, now, events);
+    urgent |= HandleMemberUpdate(state, each, now, events);
   for (const soft_record& each : message.records)
-    HearOfRecord(state, each, events);
-  TellOfDoubt(state, message.sender.id, &message.sender, from, events);
+    HandleRecordUpdate(state, each, events);
+  NotifyIfSuspected(state, message.sender.id, &message.sender, from, events);
   if (message.table_revision > state.table_revision) {
     events.newer_table_at = base::ParseEndpoint(message.sender.address);
     events.newer_table_zone = message.sender.zone;
@@ -365,21 +367,22 @@
   switch (static_cast<gossip_kind>(message.kind)) {
     case gossip_kind::kPing:
       Send(state, events, from, gossip_kind::kAck, message.sequence);
-      if (fresh || WantsAll(state, message))
-        SendAll(state, events, from);
+      if (new_incarnation || RequestsFullSync(state, message))
+        SendFullState(state, events, from);
       else
-        SendAllIfDifferent(state, message, from, now, events);
+        SendFullStateIfDifferent(state, message, from, now, events);
       break;
     case gossip_kind::kAck: {
-      if (state.probing && state.probing->sequence == message.sequence)
-        state.probing.reset();
+      if (state.current_probe &&
+          state.current_probe->sequence == message.sequence)
+        state.current_probe.reset();
       const auto relay = state.relayed.find(message.sequence);
       if (relay != state.relayed.end()) {
-        Send(state, events, relay->second.asker, gossip_kind::kAck,
-             relay->second.asker_sequence);
+        Send(state, events, relay->second.requester, gossip_kind::kAck,
+             relay->second.requester_sequence);
         state.relayed.erase(relay);
       }
-      SendAllIfDifferent(state, message, from, now, events);
+      SendFullStateIfDifferent(state, message, from, now, events);
       break;
     }
     case gossip_kind::kPingRequest: {
@@ -391,13 +394,13 @@
       Send(state, events, target->second.address, gossip_kind::kPing, sequence);
       break;
     }
-    case gossip_kind::kNews:
+    case gossip_kind::kUpdates:
     case gossip_kind::kSync:
     case gossip_kind::kDirect:
       break;
   }
   if (urgent || events.refuted)
-    SpreadAtOnce(state, events, random);
+    DisseminateNow(state, events, random);
   return events;
 }
 
@@ -405,7 +408,8 @@
   for (const auto& [id, each] : state.others) {
     if (each.address != address || IsDead(each))
       continue;
-    const bool under_way = state.probing && state.probing->target == id;
+    const bool under_way =
+        state.current_probe && state.current_probe->target == id;
     if (!under_way)
       state.probe_order.push_back(id);
     return;
@@ -418,9 +422,9 @@
   ToggleDigest(state, state.self);
   state.self.leaving = true;
   ToggleDigest(state, state.self);
-  NoteMemberChanged(state.choices, &before, state.self);
+  InvalidateSelections(state.selections, &before, state.self);
   AddRumor(state, state.self.id, true);
-  SpreadAtOnce(state, events, random);
+  DisseminateNow(state, events, random);
   return events;
 }
 
@@ -431,7 +435,7 @@
   if (revision <= state.table_revision)
     return events;
   state.table_revision = revision;
-  SpreadAtOnce(state, events, random);
+  DisseminateNow(state, events, random);
   return events;
 }
 
@@ -446,7 +450,8 @@
   const auto now_us = std::chrono::duration_cast<std::chrono::microseconds>(
                           now.time_since_epoch())
                           .count();
-  const soft_record& record = SetOwn(state.soft, key, std::move(value), now_us);
+  const soft_record& record =
+      SetOwnRecord(state.soft, key, std::move(value), now_us);
   state.digest ^= Digest(record);
   AddRumor(state, key, false);
   events.records.push_back(key);
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -15,7 +15,7 @@
 
 #include "base/duration.h"
 #include "base/endpoint.h"
-#include "membership/choices.h"
+#include "membership/selection_cache.h"
 #include "membership/member.h"
 #include "membership/soft_state.h"
 #include "wire/generated/messages_types.h"
@@ -47,7 +47,7 @@
   // Asks the receiver to ping `target`.
   kPingRequest = 3,
   // Carries news only.
-  kNews = 4,
+  kUpdates = 4,
   // Part of everything the sender knows.
   kSync = 5,
   // Facts of the sender for the receiver alone; they do not travel on.
@@ -55,7 +55,7 @@
 };
 
 // A datagram to send; the same one to each address.
-struct outgoing {
+struct outgoing_datagram {
   std::vector<base::endpoint> to;
   wire::gossip_message message;
 };
@@ -70,7 +70,7 @@
 
 // Something the owner of the state should know.
 struct gossip_events {
-  std::vector<outgoing> datagrams;
+  std::vector<outgoing_datagram> datagrams;
   // Members whose record changed.
   std::vector<std::string> changed;
   // Keys of soft records that changed.
@@ -92,7 +92,7 @@
   member record;
   base::endpoint address;
   // When its present health was learned.
-  base::time_point since;
+  base::time_point health_since;
 };
 
 struct probe {
@@ -111,8 +111,8 @@
 
 // A ping sent on behalf of another member.
 struct relayed_ping {
-  base::endpoint asker;
-  std::int64_t asker_sequence = 0;
+  base::endpoint requester;
+  std::int64_t requester_sequence = 0;
   base::time_point sent;
 };
 
@@ -126,21 +126,21 @@
   std::vector<base::endpoint> seeds;
   std::int64_t table_revision = 0;
   std::map<std::string, detail::known_member> others;
-  choice_memory choices;
+  selection_cache selections;
   soft_state soft;
   std::vector<detail::rumor> rumors;
   std::vector<std::string> probe_order;
-  std::optional<detail::probe> probing;
+  std::optional<detail::probe> current_probe;
   std::map<std::int64_t, detail::relayed_ping> relayed;
   std::int64_t next_sequence = 1;
   base::time_point next_probe;
   base::time_point next_sync;
   // When this process next asks to be told everything, the pause before it, and
   // the members that were known when it last asked.
-  base::time_point next_ask;
-  std::chrono::microseconds ask_pause{0};
-  std::size_t known_at_ask = 0;
-  base::time_point next_judgement;
+  base::time_point next_sync_request;
+  std::chrono::microseconds sync_request_interval{0};
+  std::size_t known_at_sync_request = 0;
+  base::time_point next_expiry_check;
   std::uint64_t digest = 0;
 };
 
@@ -192,24 +192,24 @@
                              std::chrono::system_clock::time_point now);
 
 // Whom a fact is told directly.
-struct direct_audience {
+struct direct_recipients {
   // At most so many members.
-  std::size_t most = 0;
+  std::size_t max_count = 0;
   // Chosen by rendezvous for this subject, the same for everyone who tells;
   // empty: others each time.
   std::string subject;
   // This one in any case; empty for none.
-  std::optional<base::endpoint> always;
+  std::optional<base::endpoint> always_included;
   // Only members of this availability zone; empty: of any.
   std::string zone = {};
 };
 
 // Tells a fact to members that are not dead, each directly: for what is
 // outdated before it would have travelled on.
-gossip_events TellDirectly(gossip_state& state,
+gossip_events SendDirectly(gossip_state& state,
                            const std::string& key,
                            std::string value,
-                           const direct_audience& audience,
+                           const direct_recipients& recipients,
                            random_source& random);
 
 // Every known member, this process included.
--- a/src/membership/gossip_builder.cc
+++ b/src/membership/gossip_builder.cc
@@ -2,7 +2,7 @@
 #include <utility>
 
 #include "membership/gossip.h"
-#include "membership/gossip_news.h"
+#include "membership/gossip_updates.h"
 
 namespace valeledge::membership {
 
--- a/src/membership/gossip_direct.cc
+++ b/src/membership/gossip_direct.cc
@@ -12,17 +12,18 @@
   return each.record.health == static_cast<std::int32_t>(member_health::kDead);
 }
 
-std::vector<const known_member*> PickOthers(const gossip_state& state,
-                                            std::size_t count,
-                                            const std::string& except,
-                                            random_source& random,
-                                            const std::string& zone) {
+std::vector<const known_member*> PickRandomMembers(
+    const gossip_state& state,
+    std::size_t count,
+    const std::string& excluded_id,
+    random_source& random,
+    const std::string& zone) {
   std::vector<const known_member*> candidates;
   if (count == 0)
     return candidates;
   for (const auto& [id, each] : state.others) {
-    const bool near = zone.empty() || each.record.zone == zone;
-    if (near && id != except && !IsDead(each))
+    const bool zone_matches = zone.empty() || each.record.zone == zone;
+    if (zone_matches && id != excluded_id && !IsDead(each))
       candidates.push_back(&each);
   }
   std::ranges::shuffle(candidates, random);
@@ -36,12 +37,13 @@
 
 // Addresses of the members, this process excepted, that are among the `count`
 // chosen for a subject.
-std::vector<base::endpoint> ChosenFor(gossip_state& state,
-                                      const direct_audience& audience) {
+std::vector<base::endpoint> SelectedAddresses(
+    gossip_state& state,
+    const direct_recipients& recipients) {
   std::vector<base::endpoint> out;
-  const choice_question question{audience.subject, audience.zone,
-                                 audience.most};
-  for (const std::string& id : ChosenMembers(state, question)) {
+  const selection_query query{recipients.subject, recipients.zone,
+                              recipients.max_count};
+  for (const std::string& id : SelectMembers(state, query)) {
     const auto known = state.others.find(id);
     if (known != state.others.end())
       out.push_back(known->second.address);
@@ -51,10 +53,10 @@
 
 }  // namespace
 
-gossip_events TellDirectly(gossip_state& state,
+gossip_events SendDirectly(gossip_state& state,
                            const std::string& key,
                            std::string value,
-                           const direct_audience& audience,
+                           const direct_recipients& recipients,
                            random_source& random) {
   gossip_events events;
   soft_record record;
@@ -67,18 +69,19 @@
   message.table_revision = state.table_revision;
   message.records.push_back(std::move(record));
   std::vector<base::endpoint> to;
-  if (audience.subject.empty()) {
-    for (const detail::known_member* each :
-         detail::PickOthers(state, audience.most, {}, random, audience.zone))
+  if (recipients.subject.empty()) {
+    for (const detail::known_member* each : detail::PickRandomMembers(
+             state, recipients.max_count, {}, random, recipients.zone))
       to.push_back(each->address);
   } else {
-    to = ChosenFor(state, audience);
+    to = SelectedAddresses(state, recipients);
   }
-  const bool add = audience.always &&
-                   std::ranges::find(to, *audience.always) == to.end() &&
-                   base::ToString(*audience.always) != state.self.address;
+  const bool add =
+      recipients.always_included &&
+      std::ranges::find(to, *recipients.always_included) == to.end() &&
+      base::ToString(*recipients.always_included) != state.self.address;
   if (add)
-    to.push_back(*audience.always);
+    to.push_back(*recipients.always_included);
   if (!to.empty())
     events.datagrams.push_back({std::move(to), std::move(message)});
   return events;
--- a/src/membership/gossip_direct.h
+++ b/src/membership/gossip_direct.h
@@ -15,12 +15,13 @@
 bool IsDead(const known_member& each);
 
 // Up to `count` members that are not dead, at random; not the one whose id is
-// `except`.
-std::vector<const known_member*> PickOthers(const gossip_state& state,
-                                            std::size_t count,
-                                            const std::string& except,
-                                            random_source& random,
-                                            const std::string& zone = {});
+// `excluded_id`.
+std::vector<const known_member*> PickRandomMembers(
+    const gossip_state& state,
+    std::size_t count,
+    const std::string& excluded_id,
+    random_source& random,
+    const std::string& zone = {});
 
 }  // namespace valeledge::membership::detail
 
--- a/src/membership/gossip_sync.cc
+++ b/src/membership/gossip_sync.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "membership/gossip_news.h"
+#include "membership/gossip_updates.h"
 
 namespace valeledge::membership::detail {
 
@@ -15,8 +15,8 @@
 // processes that start together each knew all others after 25 s as long as
 // those that were asked decided how often they tell, after 9 s now (virtual
 // time).
-constexpr auto kFirstAsk = std::chrono::milliseconds(500);
-constexpr auto kLongestAsk = std::chrono::seconds(10);
+constexpr auto kMinSyncRequestInterval = std::chrono::milliseconds(500);
+constexpr auto kMaxSyncRequestInterval = std::chrono::seconds(10);
 
 // Without being asked, everything is told to peers that know something else
 // once in this time.
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-void SendAll(gossip_state& state,
-             gossip_events& events,
-             const base::endpoint& to) {
-  for (wire::gossip_message& each : SplitAll(state)) {
+void SendFullState(gossip_state& state,
+                   gossip_events& events,
+                   const base::endpoint& to) {
+  for (wire::gossip_message& each : SplitFullState(state)) {
     each.kind = static_cast<std::int32_t>(gossip_kind::kSync);
     each.sender = state.self;
     each.table_revision = state.table_revision;
@@ -36,39 +36,41 @@
   }
 }
 
-bool IsFresh(const gossip_state& state, const member& sender) {
+bool IsNewIncarnation(const gossip_state& state, const member& sender) {
   const auto known = state.others.find(sender.id);
   return known == state.others.end() ||
          known->second.record.incarnation < sender.incarnation;
 }
 
-bool WantsAll(const gossip_state& state, const wire::gossip_message& message) {
+bool RequestsFullSync(const gossip_state& state,
+                      const wire::gossip_message& message) {
   return message.wants_all &&
          static_cast<std::uint64_t>(message.digest) != state.digest;
 }
 
-bool AskForAll(gossip_state& state, base::time_point now) {
-  if (now < state.next_ask)
+bool ShouldRequestFullSync(gossip_state& state, base::time_point now) {
+  if (now < state.next_sync_request)
     return false;
-  const bool learned = state.others.size() > state.known_at_ask;
-  const auto next = learned ? kFirstAsk : 2 * state.ask_pause;
-  state.ask_pause =
-      std::clamp<std::chrono::microseconds>(next, kFirstAsk, kLongestAsk);
-  state.next_ask = now + state.ask_pause;
-  state.known_at_ask = state.others.size();
+  const bool learned = state.others.size() > state.known_at_sync_request;
+  const auto next =
+      learned ? kMinSyncRequestInterval : 2 * state.sync_request_interval;
+  state.sync_request_interval = std::clamp<std::chrono::microseconds>(
+      next, kMinSyncRequestInterval, kMaxSyncRequestInterval);
+  state.next_sync_request = now + state.sync_request_interval;
+  state.known_at_sync_request = state.others.size();
   return true;
 }
 
-void SendAllIfDifferent(gossip_state& state,
-                        const wire::gossip_message& message,
-                        const base::endpoint& from,
-                        base::time_point now,
-                        gossip_events& events) {
+void SendFullStateIfDifferent(gossip_state& state,
+                              const wire::gossip_message& message,
+                              const base::endpoint& from,
+                              base::time_point now,
+                              gossip_events& events) {
   const bool same = static_cast<std::uint64_t>(message.digest) == state.digest;
   if (same || now < state.next_sync)
     return;
   state.next_sync = now + kSyncInterval;
-  SendAll(state, events, from);
+  SendFullState(state, events, from);
 }
 
 }  // namespace valeledge::membership::detail
--- a/src/membership/gossip_news.cc
+++ b/src/membership/gossip_updates.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "membership/gossip_news.h"
+#include "membership/gossip_updates.h"
 
 #include <algorithm>
 #include <bit>
@@ -50,10 +50,10 @@
   state.rumors.insert(state.rumors.begin(), {key, is_member, 0});
 }
 
-void AttachNews(gossip_state& state, wire::gossip_message& message) {
+void AttachUpdates(gossip_state& state, wire::gossip_message& message) {
   std::ranges::stable_sort(state.rumors, {}, &rumor::times_sent);
   const std::int64_t limit = RepeatLimit(state);
-  std::int64_t room = state.settings.news_bytes;
+  std::int64_t remaining_bytes = state.settings.news_bytes;
   for (rumor& each : state.rumors) {
     if (each.is_member) {
       const member* record = FindRecord(state, each.key);
@@ -61,14 +61,14 @@
         each.times_sent = limit;
         continue;
       }
-      room -= SizeOf(*record);
-      if (room < 0)
+      remaining_bytes -= SizeOf(*record);
+      if (remaining_bytes < 0)
         break;
       message.updates.push_back(*record);
     } else {
       const soft_record& record = state.soft.records.at(each.key);
-      room -= SizeOf(record);
-      if (room < 0)
+      remaining_bytes -= SizeOf(record);
+      if (remaining_bytes < 0)
         break;
       message.records.push_back(record);
     }
@@ -78,14 +78,14 @@
                 [&](const rumor& each) { return each.times_sent >= limit; });
 }
 
-std::vector<wire::gossip_message> SplitAll(const gossip_state& state) {
+std::vector<wire::gossip_message> SplitFullState(const gossip_state& state) {
   std::vector<wire::gossip_message> parts;
-  std::int64_t room = 0;
+  std::int64_t remaining_bytes = 0;
   const auto part = [&](std::int64_t size) -> wire::gossip_message& {
-    room -= size;
-    if (parts.empty() || room < 0) {
+    remaining_bytes -= size;
+    if (parts.empty() || remaining_bytes < 0) {
       parts.emplace_back();
-      room = state.settings.news_bytes - size;
+      remaining_bytes = state.settings.news_bytes - size;
     }
     return parts.back();
   };
--- a/src/membership/gossip_news.h
+++ b/src/membership/gossip_updates.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // What a gossip message carries beside its own purpose: news still to be
 // repeated, or everything.
-#ifndef VALELEDGE_MEMBERSHIP_GOSSIP_NEWS_H_
-#define VALELEDGE_MEMBERSHIP_GOSSIP_NEWS_H_
+#ifndef VALELEDGE_MEMBERSHIP_GOSSIP_UPDATES_H_
+#define VALELEDGE_MEMBERSHIP_GOSSIP_UPDATES_H_
 
 #include <string>
 #include <vector>
@@ -15,12 +15,12 @@
 void AddRumor(gossip_state& state, const std::string& key, bool is_member);
 
 // Puts the news that was repeated least into a message.
-void AttachNews(gossip_state& state, wire::gossip_message& message);
+void AttachUpdates(gossip_state& state, wire::gossip_message& message);
 
 // All members and records that are known, in messages of the usual size that
 // hold nothing else.
-std::vector<wire::gossip_message> SplitAll(const gossip_state& state);
+std::vector<wire::gossip_message> SplitFullState(const gossip_state& state);
 
 }  // namespace valeledge::membership::detail
 
-#endif  // VALELEDGE_MEMBERSHIP_GOSSIP_NEWS_H_
+#endif  // VALELEDGE_MEMBERSHIP_GOSSIP_UPDATES_H_
--- a/src/membership/member.cc
+++ b/src/membership/member.cc
@@ -7,23 +7,23 @@
 
 namespace valeledge::membership {
 
-bool Merge(member& known, const member& heard) {
-  if (heard.incarnation < known.incarnation)
+bool Merge(member& known, const member& received) {
+  if (received.incarnation < known.incarnation)
     return false;
-  if (heard.incarnation > known.incarnation) {
-    known = heard;
+  if (received.incarnation > known.incarnation) {
+    known = received;
     return true;
   }
   bool changed = false;
-  if (heard.leaving && !known.leaving) {
+  if (received.leaving && !known.leaving) {
     known.leaving = true;
     changed = true;
   }
-  const std::pair heard_health(heard.health_version, heard.health);
+  const std::pair received_health(received.health_version, received.health);
   const std::pair known_health(known.health_version, known.health);
-  if (heard_health > known_health) {
-    known.health_version = heard.health_version;
-    known.health = heard.health;
+  if (received_health > known_health) {
+    known.health_version = received.health_version;
+    known.health = received.health;
     changed = true;
   }
   return changed;
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -19,16 +19,16 @@
   kScheduler = 2,
   kController = 4,
   // Its link is wide enough to read and hand on large values for others.
-  kWideLink = 8,
+  kHighBandwidth = 8,
 };
 
 using member = wire::member_record;
 
-// Takes what `heard` adds to `known`; true if that changed anything. A higher
-// incarnation replaces the record; within one, leaving is never unsaid, a
-// higher health version wins, and at the same version the worse health. The
+// Takes what `received` adds to `known`; true if that changed anything. A
+// higher incarnation replaces the record; within one, leaving is never unsaid,
+// a higher health version wins, and at the same version the worse health. The
 // merge is commutative, associative and idempotent.
-bool Merge(member& known, const member& heard);
+bool Merge(member& known, const member& received);
 
 // Whether new work may go to this process.
 bool TakesWork(const member& each);
--- a/src/membership/ownership.cc
+++ b/src/membership/ownership.cc
@@ -58,7 +58,7 @@
 // The schedulers that may own cells of a zone, with how many they have.
 struct zone_schedulers {
   std::vector<const member*> members;
-  std::size_t most = 0;
+  std::size_t max_cells = 0;
   std::map<std::string, std::size_t> owned;
 };
 
@@ -73,7 +73,7 @@
         ChooseOwners(members, zone, role::kScheduler, {}, members.size());
   }
   const std::size_t count = std::max<std::size_t>(out.members.size(), 1);
-  out.most = (cells + count - 1) / count;
+  out.max_cells = (cells + count - 1) / count;
   return out;
 }
 
@@ -81,7 +81,7 @@
   const member* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const member* each : zone.members) {
-    if (zone.owned[each->id] >= zone.most)
+    if (zone.owned[each->id] >= zone.max_cells)
       continue;
     const std::uint64_t weight = base::RendezvousWeight(cell, each->id);
     if (best == nullptr || weight > best_weight) {
--- a/src/membership/soft_state.cc
+++ b/src/membership/soft_state.cc
@@ -9,23 +9,24 @@
 
 namespace valeledge::membership {
 
-bool Merge(soft_state& state, const soft_record& heard) {
-  const auto found = state.records.find(heard.key);
+bool Merge(soft_state& state, const soft_record& received) {
+  const auto found = state.records.find(received.key);
   if (found == state.records.end()) {
-    state.records.emplace(heard.key, heard);
+    state.records.emplace(received.key, received);
     return true;
   }
   soft_record& known = found->second;
-  if (std::tie(heard.stamp, heard.value) <= std::tie(known.stamp, known.value))
+  if (std::tie(received.stamp, received.value) <=
+      std::tie(known.stamp, known.value))
     return false;
-  known = heard;
+  known = received;
   return true;
 }
 
-const soft_record& SetOwn(soft_state& state,
-                          const std::string& key,
-                          std::string value,
-                          std::int64_t now_us) {
+const soft_record& SetOwnRecord(soft_state& state,
+                                const std::string& key,
+                                std::string value,
+                                std::int64_t now_us) {
   soft_record& record = state.records[key];
   record.key = key;
   record.stamp = std::max(record.stamp + 1, now_us);
--- a/src/membership/soft_state.h
+++ b/src/membership/soft_state.h
@@ -20,15 +20,15 @@
   std::map<std::string, soft_record, std::less<>> records;
 };
 
-// True if `heard` replaced what was known.
-bool Merge(soft_state& state, const soft_record& heard);
+// True if `received` replaced what was known.
+bool Merge(soft_state& state, const soft_record& received);
 
 // Sets a record that this process owns: its stamp is above all known ones and
 // not below `now_us`, microseconds of the host's clock. The record as set.
-const soft_record& SetOwn(soft_state& state,
-                          const std::string& key,
-                          std::string value,
-                          std::int64_t now_us);
+const soft_record& SetOwnRecord(soft_state& state,
+                                const std::string& key,
+                                std::string value,
+                                std::int64_t now_us);
 
 std::uint64_t Digest(const soft_record& record);
 
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -184,7 +184,7 @@
 }
 
 void node::Publish(membership::gossip_events events) {
-  for (const membership::outgoing& each : events.datagrams) {
+  for (const membership::outgoing_datagram& each : events.datagrams) {
     const std::string bytes = wire::Encode(each.message);
     for (const base::endpoint& to : each.to)
       datagrams_->Send(to, bytes);
--- a/tests/auto/host/test_at_size.cc
+++ b/tests/auto/host/test_at_size.cc
@@ -68,14 +68,14 @@
                 .Build();
     for (int i = 1; i < kHosts; ++i) {
       wire::gossip_message message;
-      message.kind = static_cast<std::int32_t>(gossip_kind::kNews);
+      message.kind = static_cast<std::int32_t>(gossip_kind::kUpdates);
       message.sender.id = "host-" + std::to_string(i);
       message.sender.address = "127.0.0.1:" + std::to_string(2000 + i);
       message.sender.roles = role::kGateway;
       Receive(state, message, {"127.0.0.1", 2000}, now, random);
     }
     book.SetHearsAtOnce([this](const std::string& instance) {
-      const auto& chosen = ChosenMembers(state, {instance, {}, kTold});
+      const auto& chosen = SelectMembers(state, {instance, {}, kTold});
       return std::ranges::find(chosen, state.self.id) != chosen.end();
     });
     service.name = "s";
@@ -117,7 +117,7 @@
       const auto choice = book.Choose(wish, service, now, random);
       BOOST_REQUIRE(choice.has_value());
       for (int told = 0; told < 2; ++told) {
-        TellDirectly(state, "use", "some bytes",
+        SendDirectly(state, "use", "some bytes",
                      {kTold, choice->server->entry.instance, std::nullopt},
                      random);
       }
@@ -129,7 +129,7 @@
     TakeReports();
     ServeRequests();
     for (int i = 0; i < kTicks; ++i) {
-      ChosenMembers(state, {"follow/store", "z", 1});
+      SelectMembers(state, {"follow/store", "z", 1});
       Tick(state, now, random);
       now += milliseconds(1000 / kTicks);
     }
@@ -205,7 +205,7 @@
           .Build();
   random_source random{7};
   const auto events =
-      TellDirectly(state, "load", wire::Encode(load),
+      SendDirectly(state, "load", wire::Encode(load),
                    {0, {}, base::endpoint{"10.1.0.39", 8144}}, random);
   return wire::Encode(events.datagrams.front().message).size();
 }
--- a/tests/auto/host/test_quarantine_duty.cc
+++ b/tests/auto/host/test_quarantine_duty.cc
@@ -44,7 +44,7 @@
     one_host& added = *hosts_.emplace_back(std::make_unique<one_host>(context));
     host::quarantine_links links;
     links.tell = [this, at](const std::string& value,
-                            const membership::direct_audience&) {
+                            const membership::direct_recipients&) {
       Deliver(at, value);
     };
     links.is_first = [this, at](const std::string&) { return at == first; };
--- a/tests/auto/membership/fake_network.h
+++ b/tests/auto/membership/fake_network.h
@@ -33,7 +33,7 @@
                                std::chrono::microseconds(incarnation)))
                            .Seeds({Address(0), Address(1)})
                            .Build();
-    silent_.erase(address);
+    suspended_.erase(address);
   }
 
   static base::endpoint Address(int index) {
@@ -44,32 +44,32 @@
   std::size_t size() const { return states_.size(); }
 
   // The process neither sends nor receives from now on.
-  void Silence(int index) { silent_.insert(Address(index)); }
-  void Wake(int index) { silent_.erase(Address(index)); }
+  void Suspend(int index) { suspended_.insert(Address(index)); }
+  void Resume(int index) { suspended_.erase(Address(index)); }
   void SetLoss(double share) { loss_ = share; }
   // Datagrams for which this is true are lost.
   void Cut(std::function<bool(int from, int to)> cut) { cut_ = std::move(cut); }
 
   // A process that hears of a newer table has it at once.
-  void FetchTablesAtOnce() { fetches_ = true; }
+  void FetchTablesImmediately() { fetches_tables_ = true; }
 
-  void Take(int index, const gossip_events& events) {
-    for (const outgoing& each : events.datagrams) {
+  void Send(int index, const gossip_events& events) {
+    for (const outgoing_datagram& each : events.datagrams) {
       const std::string bytes = wire::Encode(each.message);
       for (const base::endpoint& to : each.to) {
         bytes_ += static_cast<std::int64_t>(bytes.size());
         ++datagrams_;
-        under_way_.emplace(now_ + std::chrono::milliseconds(1),
-                           flight{index, to, bytes});
+        in_flight_.emplace(now_ + std::chrono::milliseconds(1),
+                           datagram_in_flight{index, to, bytes});
       }
     }
   }
 
-  // Runs until `condition` or for `longest`; the time that passed.
-  std::chrono::microseconds Run(std::chrono::microseconds longest,
+  // Runs until `condition` or for `max_duration`; the time that passed.
+  std::chrono::microseconds Run(std::chrono::microseconds max_duration,
                                 const std::function<bool()>& condition = {}) {
     const auto start = now_;
-    while (now_ - start < longest && !(condition && condition()))
+    while (now_ - start < max_duration && !(condition && condition()))
       Step();
     return std::chrono::duration_cast<std::chrono::microseconds>(now_ - start);
   }
@@ -82,12 +82,13 @@
   }
 
   // Whether every awake process agrees to something about `other`.
-  bool AllSay(int other, const std::function<bool(const member*)>& says) {
+  bool AllViewsSatisfy(int other,
+                       const std::function<bool(const member*)>& predicate) {
     for (std::size_t i = 0; i < size(); ++i) {
       const int index = static_cast<int>(i);
-      if (index == other || silent_.contains(Address(index)))
+      if (index == other || suspended_.contains(Address(index)))
         continue;
-      if (!says(Find(index, other)))
+      if (!predicate(Find(index, other)))
         return false;
     }
     return true;
@@ -99,7 +100,7 @@
   base::time_point now() const { return now_; }
 
  private:
-  struct flight {
+  struct datagram_in_flight {
     int from;
     base::endpoint to;
     std::string bytes;
@@ -107,22 +108,22 @@
 
   void Step() {
     now_ += std::chrono::milliseconds(10);
-    while (!under_way_.empty() && under_way_.begin()->first <= now_) {
-      const flight each = under_way_.begin()->second;
-      under_way_.erase(under_way_.begin());
+    while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
+      const datagram_in_flight each = in_flight_.begin()->second;
+      in_flight_.erase(in_flight_.begin());
       Deliver(each);
     }
     for (auto& [address, state] : states_) {
-      if (!silent_.contains(address))
-        Take(address.port - 1000, Tick(state, now_, random_));
+      if (!suspended_.contains(address))
+        Send(address.port - 1000, Tick(state, now_, random_));
     }
   }
 
-  void Deliver(const flight& each) {
+  void Deliver(const datagram_in_flight& each) {
     const int to = each.to.port - 1000;
     std::uniform_real_distribution<double> any(0, 1);
-    const bool lost = silent_.contains(each.to) ||
-                      silent_.contains(Address(each.from)) ||
+    const bool lost = suspended_.contains(each.to) ||
+                      suspended_.contains(Address(each.from)) ||
                       (cut_ && cut_(each.from, to)) || any(random_) < loss_;
     const auto found = states_.find(each.to);
     if (lost || found == states_.end())
@@ -130,20 +131,20 @@
     const auto message = wire::DecodeGossip(each.bytes);
     const auto events =
         Receive(found->second, *message, Address(each.from), now_, random_);
-    Take(to, events);
-    if (fetches_ && events.newer_table_at)
-      Take(to, AnnounceTable(found->second, message->table_revision, random_));
+    Send(to, events);
+    if (fetches_tables_ && events.newer_table_at)
+      Send(to, AnnounceTable(found->second, message->table_revision, random_));
   }
 
   gossip_settings settings_;
   random_source random_;
   base::time_point now_;
   std::map<base::endpoint, gossip_state> states_;
-  std::set<base::endpoint> silent_;
-  std::multimap<base::time_point, flight> under_way_;
+  std::set<base::endpoint> suspended_;
+  std::multimap<base::time_point, datagram_in_flight> in_flight_;
   std::function<bool(int, int)> cut_;
   double loss_ = 0;
-  bool fetches_ = false;
+  bool fetches_tables_ = false;
   std::int64_t bytes_ = 0;
   std::int64_t datagrams_ = 0;
 };
--- a/tests/auto/membership/figures.cc
+++ b/tests/auto/membership/figures.cc
@@ -65,22 +65,24 @@
   Print(size, "at rest", 30, rest.PerProcess(net, count));
 
   const meter leaving(net);
-  net.Take(3, AnnounceLeaving(net.At(3), net.random()));
-  const auto left = net.Run(30s, [&] { return net.AllSay(3, IsLeaving); });
+  net.Send(3, AnnounceLeaving(net.At(3), net.random()));
+  const auto left =
+      net.Run(30s, [&] { return net.AllViewsSatisfy(3, IsLeaving); });
   Print(size, "one leaves", Seconds(left), leaving.PerProcess(net, count));
 
   const meter dying(net);
-  net.Silence(5);
-  const auto died = net.Run(120s, [&] { return net.AllSay(5, IsGone); });
+  net.Suspend(5);
+  const auto died =
+      net.Run(120s, [&] { return net.AllViewsSatisfy(5, IsGone); });
   Print(size, "one dies", Seconds(died), dying.PerProcess(net, count));
 
   net.Run(60s);
   const meter zone(net);
   for (int i = 7; i < size; i += 4)
-    net.Silence(i);
+    net.Suspend(i);
   const auto lost = net.Run(300s, [&] {
     for (int i = 7; i < size; i += 4) {
-      if (!net.AllSay(i, IsGone))
+      if (!net.AllViewsSatisfy(i, IsGone))
         return false;
     }
     return true;
--- a/tests/auto/membership/test_gossip.cc
+++ b/tests/auto/membership/test_gossip.cc
@@ -24,7 +24,7 @@
 
 bool AllKnowAll(fake_network& net) {
   for (std::size_t i = 0; i < net.size(); ++i) {
-    if (!net.AllSay(static_cast<int>(i), IsAlive))
+    if (!net.AllViewsSatisfy(static_cast<int>(i), IsAlive))
       return false;
   }
   return true;
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(processes_that_know_only_seeds_find_each_other) {
+BOOST_AUTO_TEST_CASE(processes_that_know_only_seeds_discover_each_other) {
   for (const unsigned seed : {1U, 2U, 3U}) {
     fake_network net(24, {}, seed);
     net.Run(10s, [&] { return AllKnowAll(net); });
@@ -42,7 +42,7 @@
 
 // Until hosts know each other they choose different ones for the same duty. It
 // took 25 s while those that are asked decided how often they tell everything.
-BOOST_AUTO_TEST_CASE(hundreds_that_start_together_find_each_other) {
+BOOST_AUTO_TEST_CASE(hundreds_started_together_discover_each_other) {
   fake_network net(295, {}, 1);
   const auto all_known = [&] {
     for (int i = 0; i < 295; ++i) {
@@ -55,70 +55,75 @@
   BOOST_TEST(took <= 12s, "took " << took.count() << " us");
 }
 
-BOOST_AUTO_TEST_CASE(leaving_is_known_everywhere_within_two_seconds) {
+BOOST_AUTO_TEST_CASE(leaving_reaches_all_members_within_two_seconds) {
   for (const unsigned seed : {1U, 2U, 3U}) {
     fake_network net(64, {}, seed);
     net.Run(10s, [&] { return AllKnowAll(net); });
     net.SetLoss(0.1);
-    net.Take(5, AnnounceLeaving(net.At(5), net.random()));
+    net.Send(5, AnnounceLeaving(net.At(5), net.random()));
     const auto leaving = [](const member* each) {
       return each != nullptr && each->leaving;
     };
-    const auto took = net.Run(10s, [&] { return net.AllSay(5, leaving); });
+    const auto took =
+        net.Run(10s, [&] { return net.AllViewsSatisfy(5, leaving); });
     BOOST_TEST(took < 2s, "took " << took.count() << " us");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_process_is_dead_for_all_within_bounds) {
+BOOST_AUTO_TEST_CASE(an_unresponsive_process_is_declared_dead_within_bounds) {
   fake_network net(32, {}, 4);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  net.Silence(7);
-  const auto took = net.Run(60s, [&] { return net.AllSay(7, IsGone); });
+  net.Suspend(7);
+  const auto took =
+      net.Run(60s, [&] { return net.AllViewsSatisfy(7, IsGone); });
   // One round of probes, the suspicion, and its spread.
   BOOST_TEST(took < 32s + 4s + 5s);
   BOOST_TEST(took > 4s);
 }
 
 // Who waits for a process that has ended goes to the next one once it is
-// doubted: hosts go on without the owner of a limit for two seconds.
-BOOST_AUTO_TEST_CASE(a_doubt_is_known_everywhere_within_two_seconds) {
-  const auto is_doubted = [](const member* each) { return !IsAlive(each); };
+// suspected: hosts go on without the owner of a limit for two seconds.
+BOOST_AUTO_TEST_CASE(suspicion_reaches_all_members_within_two_seconds) {
+  const auto is_suspected = [](const member* each) { return !IsAlive(each); };
   for (const unsigned seed : {1U, 2U, 3U}) {
     fake_network net(69, {}, seed);
     net.Run(20s, [&] { return AllKnowAll(net); });
-    net.Silence(7);
+    net.Suspend(7);
     // Those that wait for it have it probed next.
     for (int i = 0; i < 69; ++i) {
       if (i != 7)
         ProbeNext(net.At(i), fake_network::Address(7));
     }
-    const auto took = net.Run(20s, [&] { return net.AllSay(7, is_doubted); });
+    const auto took =
+        net.Run(20s, [&] { return net.AllViewsSatisfy(7, is_suspected); });
     BOOST_TEST(took <= 2s, "took " << took.count() << " us");
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_process_that_only_paused_comes_back) {
+BOOST_AUTO_TEST_CASE(a_paused_process_is_alive_again_after_resuming) {
   fake_network net(16, {}, 5);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  net.Silence(3);
-  net.Run(60s, [&] { return net.AllSay(3, IsGone); });
-  net.Wake(3);
-  const auto took = net.Run(30s, [&] { return net.AllSay(3, IsAlive); });
-  BOOST_TEST(net.AllSay(3, IsAlive), "after " << took.count() << " us");
+  net.Suspend(3);
+  net.Run(60s, [&] { return net.AllViewsSatisfy(3, IsGone); });
+  net.Resume(3);
+  const auto took =
+      net.Run(30s, [&] { return net.AllViewsSatisfy(3, IsAlive); });
+  BOOST_TEST(net.AllViewsSatisfy(3, IsAlive),
+             "after " << took.count() << " us");
 }
 
-BOOST_AUTO_TEST_CASE(loss_alone_kills_nobody) {
+BOOST_AUTO_TEST_CASE(packet_loss_alone_declares_no_member_dead) {
   fake_network net(24, {}, 6);
   net.Run(10s, [&] { return AllKnowAll(net); });
   net.SetLoss(0.2);
   for (int second = 0; second < 60; ++second) {
     net.Run(1s);
     for (int i = 0; i < 24; ++i)
-      BOOST_TEST(!net.AllSay(i, IsGone));
+      BOOST_TEST(!net.AllViewsSatisfy(i, IsGone));
   }
 }
 
-BOOST_AUTO_TEST_CASE(two_halves_find_each_other_after_a_cut) {
+BOOST_AUTO_TEST_CASE(partitioned_halves_merge_after_the_partition_heals) {
   fake_network net(20, {}, 7);
   net.Run(10s, [&] { return AllKnowAll(net); });
   net.Cut([](int from, int to) { return from % 2 != to % 2; });
@@ -131,57 +136,59 @@
   BOOST_TEST(AllKnowAll(net));
 }
 
-BOOST_AUTO_TEST_CASE(leaving_is_not_unsaid_but_a_new_run_starts_afresh) {
+BOOST_AUTO_TEST_CASE(leaving_lasts_until_the_process_restarts) {
   fake_network net(8, {}, 8);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  net.Take(2, AnnounceLeaving(net.At(2), net.random()));
+  net.Send(2, AnnounceLeaving(net.At(2), net.random()));
   const auto leaving = [](const member* each) {
     return each != nullptr && each->leaving;
   };
   net.Run(5s);
-  BOOST_TEST(net.AllSay(2, leaving));
-  net.Silence(2);
+  BOOST_TEST(net.AllViewsSatisfy(2, leaving));
+  net.Suspend(2);
   net.Run(20s);
   net.Add(2, 2'000'000);
-  const auto fresh = [](const member* each) {
+  const auto is_new_run = [](const member* each) {
     return each != nullptr && !each->leaving && IsAlive(each);
   };
-  net.Run(20s, [&] { return net.AllSay(2, fresh); });
-  BOOST_TEST(net.AllSay(2, fresh));
+  net.Run(20s, [&] { return net.AllViewsSatisfy(2, is_new_run); });
+  BOOST_TEST(net.AllViewsSatisfy(2, is_new_run));
 }
 
 // A clock that was set back gives a new run a lower incarnation than the one
 // before, which left: without an answer to that the new run would be taken for
 // the old one until its clock has caught up, and get no work.
-BOOST_AUTO_TEST_CASE(a_run_whose_clock_was_set_back_is_taken_for_new) {
+BOOST_AUTO_TEST_CASE(
+    a_restart_after_a_clock_step_back_replaces_the_earlier_run) {
   fake_network net(16, {}, 8);
-  net.Silence(2);
+  net.Suspend(2);
   net.Add(2, 60'000'000);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  net.Take(2, AnnounceLeaving(net.At(2), net.random()));
+  net.Send(2, AnnounceLeaving(net.At(2), net.random()));
   net.Run(5s);
-  net.Silence(2);
+  net.Suspend(2);
   net.Run(2s);
   net.Add(2, 50'000'000);
-  const auto fresh = [](const member* each) {
+  const auto is_new_run = [](const member* each) {
     return each != nullptr && !each->leaving && IsAlive(each);
   };
-  const auto took = net.Run(20s, [&] { return net.AllSay(2, fresh); });
-  BOOST_TEST(net.AllSay(2, fresh));
+  const auto took =
+      net.Run(20s, [&] { return net.AllViewsSatisfy(2, is_new_run); });
+  BOOST_TEST(net.AllViewsSatisfy(2, is_new_run));
   BOOST_TEST(took < 4s, "took " << took.count() << " us");
 }
 
-BOOST_AUTO_TEST_CASE(soft_records_reach_all_and_the_newest_wins) {
+BOOST_AUTO_TEST_CASE(soft_records_reach_all_members_and_the_newest_wins) {
   fake_network net(32, {}, 9);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  const auto announce = [&](int who, const char* value, int second) {
-    net.Take(who, AnnounceRecord(net.At(who), "load/x", value,
-                                 std::chrono::system_clock::time_point(
-                                     std::chrono::seconds(second))));
+  const auto announce = [&](int index, const char* value, int second) {
+    net.Send(index, AnnounceRecord(net.At(index), "load/x", value,
+                                   std::chrono::system_clock::time_point(
+                                       std::chrono::seconds(second))));
   };
   announce(1, "old", 1);
   announce(2, "new", 2);
-  const auto all_say = [&] {
+  const auto all_have_newest = [&] {
     for (int i = 0; i < 32; ++i) {
       const auto& records = net.At(i).soft.records;
       const auto found = records.find("load/x");
@@ -190,20 +197,20 @@
     }
     return true;
   };
-  const auto took = net.Run(20s, all_say);
-  BOOST_TEST(all_say(), "after " << took.count() << " us");
+  const auto took = net.Run(20s, all_have_newest);
+  BOOST_TEST(all_have_newest(), "after " << took.count() << " us");
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_process_knows_all_records_within_a_second) {
+BOOST_AUTO_TEST_CASE(a_restarted_process_receives_all_records_within_a_second) {
   // Found by outage.scn: the exchange of everything had been used up lately.
   fake_network net(16, {}, 12);
   net.Run(20s, [&] { return AllKnowAll(net); });
   for (int i = 0; i < 16; ++i) {
-    net.Take(i, AnnounceRecord(net.At(i), "ready/" + std::to_string(i), "x",
+    net.Send(i, AnnounceRecord(net.At(i), "ready/" + std::to_string(i), "x",
                                std::chrono::system_clock::time_point()));
   }
   net.Run(20s);
-  net.Silence(9);
+  net.Suspend(9);
   net.Add(9, 2'000'000);
   const auto took = net.Run(10s, [&] {
     return net.At(9).soft.records.size() >= 16 && net.At(9).others.size() == 15;
@@ -211,13 +218,13 @@
   BOOST_TEST(took <= 1s, "took " << took.count() << " us");
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_table_is_in_force_everywhere_within_seconds) {
+BOOST_AUTO_TEST_CASE(a_newer_table_reaches_all_members_within_seconds) {
   for (const unsigned seed : {1U, 2U, 3U}) {
     fake_network net(64, {}, seed);
     net.Run(10s, [&] { return AllKnowAll(net); });
-    net.FetchTablesAtOnce();
+    net.FetchTablesImmediately();
     net.SetLoss(0.1);
-    net.Take(0, AnnounceTable(net.At(0), 7, net.random()));
+    net.Send(0, AnnounceTable(net.At(0), 7, net.random()));
     const auto all_have = [&] {
       for (int i = 0; i < 64; ++i) {
         if (net.At(i).table_revision != 7)
@@ -233,41 +240,43 @@
 
 // Whoever tells of a subject tells the same members, itself excepted; what is
 // told reaches them and does not travel on.
-BOOST_AUTO_TEST_CASE(facts_told_directly_reach_the_same_members) {
+BOOST_AUTO_TEST_CASE(direct_records_reach_the_same_members_from_every_sender) {
   fake_network net(24, {}, 5);
   net.Run(10s, [&] { return AllKnowAll(net); });
-  const direct_audience audience{6, "i-1", std::nullopt};
-  std::set<base::endpoint> told;
-  for (int teller = 0; teller < 24; ++teller) {
-    const auto events =
-        TellDirectly(net.At(teller), "use", "1", audience, net.random());
+  const direct_recipients recipients{6, "i-1", std::nullopt};
+  std::set<base::endpoint> addresses;
+  for (int sender_index = 0; sender_index < 24; ++sender_index) {
+    const auto events = SendDirectly(net.At(sender_index), "use", "1",
+                                     recipients, net.random());
     BOOST_REQUIRE(events.datagrams.size() == 1u);
-    const outgoing& each = events.datagrams.front();
+    const outgoing_datagram& each = events.datagrams.front();
     for (const base::endpoint& to : each.to) {
-      told.insert(to);
-      BOOST_TEST((to != fake_network::Address(teller)));
-      const auto heard =
+      addresses.insert(to);
+      BOOST_TEST((to != fake_network::Address(sender_index)));
+      const auto received =
           Receive(net.At(to.port - 1000), each.message,
-                  fake_network::Address(teller), net.now(), net.random());
-      BOOST_REQUIRE(heard.direct.size() == 1u);
-      BOOST_TEST(heard.direct.front().sender == "n" + std::to_string(teller));
-      BOOST_TEST(heard.datagrams.empty());
+                  fake_network::Address(sender_index), net.now(), net.random());
+      BOOST_REQUIRE(received.direct.size() == 1u);
+      BOOST_TEST(received.direct.front().sender ==
+                 "n" + std::to_string(sender_index));
+      BOOST_TEST(received.datagrams.empty());
     }
   }
-  BOOST_TEST(told.size() == 6u);
+  BOOST_TEST(addresses.size() == 6u);
 }
 
-BOOST_AUTO_TEST_CASE(a_stranger_tells_nothing) {
+BOOST_AUTO_TEST_CASE(direct_records_from_unknown_senders_are_ignored) {
   fake_network net(2, {}, 5);
-  const auto events = TellDirectly(
+  const auto events = SendDirectly(
       net.At(0), "use", "1", {6, {}, fake_network::Address(1)}, net.random());
   BOOST_REQUIRE(events.datagrams.size() == 1u);
-  const auto heard = Receive(net.At(1), events.datagrams.front().message,
-                             fake_network::Address(0), net.now(), net.random());
-  BOOST_TEST(heard.direct.empty());
+  const auto received =
+      Receive(net.At(1), events.datagrams.front().message,
+              fake_network::Address(0), net.now(), net.random());
+  BOOST_TEST(received.direct.empty());
 }
 
-BOOST_AUTO_TEST_CASE(owners_are_chosen_alike_and_move_little) {
+BOOST_AUTO_TEST_CASE(owner_selection_is_consistent_and_stable) {
   fake_network net(10, {}, 11);
   net.Run(10s, [&] { return AllKnowAll(net); });
   int moved = 0;
@@ -290,7 +299,7 @@
   BOOST_TEST(moved < 45);
 }
 
-BOOST_AUTO_TEST_CASE(no_scheduler_owns_more_than_its_even_part) {
+BOOST_AUTO_TEST_CASE(cells_are_distributed_evenly_among_schedulers) {
   // Found by measure_capacity.py: by rendezvous alone one scheduler owned
   // three cells and used 18 KB/s, others none.
   std::vector<member> members;
@@ -327,7 +336,7 @@
   BOOST_TEST(moved <= 6);
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_without_schedulers_is_served_by_another) {
+BOOST_AUTO_TEST_CASE(a_zone_without_schedulers_uses_another_zone) {
   std::vector<member> members(1);
   members[0].id = "only";
   members[0].zone = "b";
--- a/tests/auto/membership/test_merge.cc
+++ b/tests/auto/membership/test_merge.cc
@@ -49,13 +49,13 @@
   BOOST_TEST(held);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_holds_for_the_rest_of_a_run) {
+BOOST_AUTO_TEST_CASE(leaving_is_irrevocable_within_an_incarnation) {
   const bool held = rc::check("leaving", [] {
     member known = *AnyMember();
     known.leaving = true;
-    member heard = *AnyMember();
-    heard.incarnation = known.incarnation;
-    Merge(known, heard);
+    member received = *AnyMember();
+    received.incarnation = known.incarnation;
+    Merge(known, received);
     RC_ASSERT(known.leaving);
   });
   BOOST_TEST(held);
--- a/tests/auto/membership/test_choices.cc
+++ b/tests/auto/membership/test_selection_cache.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Choices among members, and the memory of them.
-#include "membership/choices.h"
+#include "membership/selection_cache.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -24,26 +24,28 @@
   return out;
 }
 
-struct world {
-  world() {
+struct test_member {
+  test_member() {
     state = gossip_builder()
                 .Self("n0", {"127.0.0.1", 2000}, "a", role::kGateway)
                 .Build();
   }
 
-  void Hear(const member& heard) {
+  void Deliver(const member& received) {
     wire::gossip_message message;
-    message.kind = static_cast<std::int32_t>(gossip_kind::kNews);
-    message.sender = heard;
-    Receive(state, message, *base::ParseEndpoint(heard.address), now, random);
+    message.kind = static_cast<std::int32_t>(gossip_kind::kUpdates);
+    message.sender = received;
+    Receive(state, message, *base::ParseEndpoint(received.address), now,
+            random);
   }
 
   // The choice worked out without any memory.
-  std::vector<std::string> Fresh(const choice_question& question) const {
+  std::vector<std::string> SelectWithoutCache(
+      const selection_query& query) const {
     std::vector<std::string> out;
     const auto members = Members(state);
-    for (const member* each : ChooseOwners(members, question.subject, 0,
-                                           question.zone, question.count)) {
+    for (const member* each :
+         ChooseOwners(members, query.subject, 0, query.zone, query.count)) {
       out.push_back(each->id);
     }
     return out;
@@ -58,47 +60,47 @@
 
 // Members with the preferred role are chosen while there are any, whoever they
 // are, and any others then.
-BOOST_AUTO_TEST_CASE(members_with_the_preferred_role_come_first) {
-  world here;
+BOOST_AUTO_TEST_CASE(members_with_preferred_roles_are_selected_first) {
+  test_member process;
   for (int i = 1; i < kMembers; ++i) {
     member each = MemberOf(i, 1);
     if (i == 5 || i == 7)
-      each.roles |= role::kWideLink;
-    here.Hear(each);
+      each.roles |= role::kHighBandwidth;
+    process.Deliver(each);
   }
-  const choice_question any{"duty", "", 1, 0};
-  const choice_question wide{"duty", "", 1, role::kWideLink};
-  const std::string first = ChosenMembers(here.state, wide).front();
+  const selection_query any{"duty", "", 1, 0};
+  const selection_query wide{"duty", "", 1, role::kHighBandwidth};
+  const std::string first = SelectMembers(process.state, wide).front();
   BOOST_TEST((first == "n5" || first == "n7"));
   const int other = first == "n5" ? 7 : 5;
-  for (const int leaves : {12 - other, other}) {
-    member each = MemberOf(leaves, 1);
-    each.roles |= role::kWideLink;
+  for (const int leaving_index : {12 - other, other}) {
+    member each = MemberOf(leaving_index, 1);
+    each.roles |= role::kHighBandwidth;
     each.leaving = true;
-    here.Hear(each);
-    if (leaves != other) {
-      BOOST_TEST(ChosenMembers(here.state, wide).front() ==
+    process.Deliver(each);
+    if (leaving_index != other) {
+      BOOST_TEST(SelectMembers(process.state, wide).front() ==
                  "n" + std::to_string(other));
     }
   }
-  BOOST_TEST(ChosenMembers(here.state, wide).front() ==
-             ChosenMembers(here.state, any).front());
+  BOOST_TEST(SelectMembers(process.state, wide).front() ==
+             SelectMembers(process.state, any).front());
 }
 
 // Members come, leave, are found dead, come back and start anew in any order;
 // after each change every choice is the one that is made without memory.
-BOOST_AUTO_TEST_CASE(remembered_choices_follow_every_change) {
+BOOST_AUTO_TEST_CASE(cached_selections_follow_every_change) {
   for (const unsigned seed : {1U, 2U, 3U, 4U}) {
-    world here;
-    here.random.seed(seed);
+    test_member process;
+    process.random.seed(seed);
     std::vector<member> known;
     for (int i = 0; i < kMembers; ++i)
       known.push_back(MemberOf(i, 1));
     std::uniform_int_distribution<std::size_t> any(1, kMembers - 1);
     std::uniform_int_distribution<int> kind(0, 3);
     for (int step = 0; step < 300; ++step) {
-      member& each = known[any(here.random)];
-      switch (kind(here.random)) {
+      member& each = known[any(process.random)];
+      switch (kind(process.random)) {
         case 0:
           each.leaving = true;
           break;
@@ -112,38 +114,39 @@
         default:
           each = MemberOf(std::stoi(each.id.substr(1)), each.incarnation + 1);
       }
-      here.Hear(each);
+      process.Deliver(each);
       for (const std::string subject : {"i-1", "i-2", "follow/store"}) {
         for (const std::string zone : {"", "a"}) {
-          const choice_question question{subject, zone, 4};
-          BOOST_TEST(ChosenMembers(here.state, question) ==
-                     here.Fresh(question));
+          const selection_query query{subject, zone, 4};
+          BOOST_TEST(SelectMembers(process.state, query) ==
+                     process.SelectWithoutCache(query));
         }
       }
     }
-    AnnounceLeaving(here.state, here.random);
-    const choice_question question{"i-1", "", kMembers};
-    BOOST_TEST(ChosenMembers(here.state, question) == here.Fresh(question));
+    AnnounceLeaving(process.state, process.random);
+    const selection_query query{"i-1", "", kMembers};
+    BOOST_TEST(SelectMembers(process.state, query) ==
+               process.SelectWithoutCache(query));
   }
 }
 
 // Suspicion comes and goes all the time on a lossy network, and moves no work.
-BOOST_AUTO_TEST_CASE(suspicion_leaves_choices_remembered) {
-  world here;
+BOOST_AUTO_TEST_CASE(suspicion_keeps_cached_selections) {
+  test_member process;
   for (int i = 1; i < kMembers; ++i)
-    here.Hear(MemberOf(i, 1));
-  ChosenMembers(here.state, {"i-1", "", 4});
-  member doubted = MemberOf(5, 1);
-  doubted.health = static_cast<std::int32_t>(member_health::kSuspect);
-  here.Hear(doubted);
-  BOOST_TEST(here.state.choices.answers.size() == 1u);
+    process.Deliver(MemberOf(i, 1));
+  SelectMembers(process.state, {"i-1", "", 4});
+  member suspected = MemberOf(5, 1);
+  suspected.health = static_cast<std::int32_t>(member_health::kSuspect);
+  process.Deliver(suspected);
+  BOOST_TEST(process.state.selections.entries.size() == 1u);
 }
 
 // Subjects are names of servers, and each release brings new ones.
-BOOST_AUTO_TEST_CASE(the_memory_of_choices_is_bounded) {
-  world here;
-  here.Hear(MemberOf(1, 1));
+BOOST_AUTO_TEST_CASE(selection_cache_is_bounded) {
+  test_member process;
+  process.Deliver(MemberOf(1, 1));
   for (int i = 0; i < 10'000; ++i)
-    ChosenMembers(here.state, {"i-" + std::to_string(i), "", 1});
-  BOOST_TEST(here.state.choices.answers.size() <= 4096u);
+    SelectMembers(process.state, {"i-" + std::to_string(i), "", 1});
+  BOOST_TEST(process.state.selections.entries.size() <= 4096u);
 }
