--- a/src/gateway/constants.h
+++ b/src/gateway/constants.h
@@ -23,41 +23,41 @@
 inline constexpr std::string_view kAttemptField = "Valeledge-Attempt";
 
 // Longest idempotency key.
-inline constexpr std::size_t kLongestKey = 200;
+inline constexpr std::size_t kMaxKeyLength = 200;
 
 // Characters of a conversation that count as its prefix.
 inline constexpr std::size_t kPrefixCharacters = 512;
 
 // Tokens expected of an answer that sets no max_tokens.
-inline constexpr int kUsualTokens = 128;
+inline constexpr int kDefaultMaxTokens = 128;
 
 // How long a gateway goes on avoiding a scheduler that it could not reach.
-inline constexpr std::chrono::microseconds kAvoidScheduler =
+inline constexpr std::chrono::microseconds kSchedulerAvoidance =
     std::chrono::seconds(2);
 
 // How long a call of a plain service may wait for its turn.
-inline constexpr std::chrono::microseconds kServicePatience =
+inline constexpr std::chrono::microseconds kServiceGrantTimeout =
     std::chrono::seconds(3);
 
 // A cell's load as its scheduler answered it counts for so long; then what
 // gossip says does.
-inline constexpr std::chrono::microseconds kAnsweredLoad =
+inline constexpr std::chrono::microseconds kReportedLoadLifetime =
     std::chrono::seconds(1);
 
 // Extra wait for a grant beyond the time in which it could be of use.
-inline constexpr std::chrono::microseconds kGrantGrace =
+inline constexpr std::chrono::microseconds kGrantGracePeriod =
     std::chrono::milliseconds(200);
 
 // A recorded answer is waited for so long before the caller is answered.
-inline constexpr std::chrono::microseconds kRecordTimeout =
+inline constexpr std::chrono::microseconds kClaimUpdateTimeout =
     std::chrono::milliseconds(500);
 
 // Attempts in flight are repeated to their cells' owners this often.
-inline constexpr std::chrono::microseconds kInFlightInterval =
+inline constexpr std::chrono::microseconds kInFlightReportInterval =
     std::chrono::seconds(2);
 
 // Time to come back when nothing better is known.
-inline constexpr std::chrono::milliseconds kUsualComeBack =
+inline constexpr std::chrono::milliseconds kDefaultRetryAfter =
     std::chrono::milliseconds(1000);
 
 }  // namespace valeledge::gateway
--- a/src/gateway/process/caller_front.cc
+++ b/src/gateway/process/caller_frontend.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 
 #include <utility>
 
@@ -7,7 +7,7 @@
 
 #include "base/logging.h"
 #include "gateway/constants.h"
-#include "gateway/request/answers.h"
+#include "gateway/request/responses.h"
 #include "gateway/request/chat_exchange.h"
 #include "gateway/request/service_exchange.h"
 
@@ -23,9 +23,9 @@
 constexpr std::string_view kServicesPath = "/services/";
 
 net::http_response PlainText(int status, std::string body) {
-  auto answer = net::MakeJsonResponse(status, std::move(body));
-  answer.set(http::field::content_type, "text/plain; charset=utf-8");
-  return answer;
+  auto response = net::MakeJsonResponse(status, std::move(body));
+  response.set(http::field::content_type, "text/plain; charset=utf-8");
+  return response;
 }
 
 base::error Refusal(result_code code, std::string message) {
@@ -34,17 +34,17 @@
 
 }  // namespace
 
-caller_front::caller_front(gateway_shared& shared, int number)
-    : shared_(shared), duty_("callers" + std::to_string(number)) {}
+caller_frontend::caller_frontend(gateway_shared& shared, int number)
+    : shared_(shared), thread_("callers" + std::to_string(number)) {}
 
-caller_front::~caller_front() {
+caller_frontend::~caller_frontend() {
   Stop();
 }
 
-base::result<void> caller_front::Start() {
-  http_ = std::make_unique<net::http_client>(duty_.context());
+base::result<void> caller_frontend::Start() {
+  http_ = std::make_unique<net::http_client>(thread_.context());
   server_ = std::make_unique<net::http_server>(
-      duty_.context(), settings().limits,
+      thread_.context(), settings().limits,
       [this](net::http_request& request, net::http_responder& responder) {
         return Handle(request, responder);
       },
@@ -55,19 +55,19 @@
   const auto started = server_->Start(settings().caller_listen, true);
   if (!started)
     return tl::make_unexpected(started.error());
-  duty_.Start();
+  thread_.Start();
   return {};
 }
 
-void caller_front::Drain() {
-  duty_.Submit([this] { server_->Drain(); });
+void caller_frontend::Drain() {
+  thread_.Submit([this] { server_->Drain(); });
 }
 
-void caller_front::Stop() {
-  duty_.Stop();
+void caller_frontend::Stop() {
+  thread_.Stop();
 }
 
-std::string caller_front::RenderModels() const {
+std::string caller_frontend::RenderModels() const {
   const auto table = shared_.node.table().Get();
   json::array data;
   for (const auto kind : {table::row_kind::kModel, table::row_kind::kAdapter}) {
@@ -81,23 +81,23 @@
       json::object{{"object", "list"}, {"data", std::move(data)}});
 }
 
-asio::awaitable<void> caller_front::Handle(net::http_request& request,
-                                           net::http_responder& responder) {
+asio::awaitable<void> caller_frontend::Handle(net::http_request& request,
+                                              net::http_responder& responder) {
   std::string path(request.target().data(), request.target().size());
   ++active_;
   co_await Dispatch(request, responder, path.substr(0, path.find('?')));
   --active_;
 }
 
-asio::awaitable<void> caller_front::Dispatch(net::http_request& request,
-                                             net::http_responder& responder,
-                                             std::string_view path) {
+asio::awaitable<void> caller_frontend::Dispatch(net::http_request& request,
+                                                net::http_responder& responder,
+                                                std::string_view path) {
   const bool chat = path == "/v1/chat/completions";
   const bool service = path.starts_with(kServicesPath);
   if (chat && request.method() != http::verb::post) {
     co_await responder.Send(
         ErrorResponse(Refusal(result_code::kMethodNotAllowed, "use POST"), {}));
-  } else if ((chat || service) && shared_.refusing) {
+  } else if ((chat || service) && shared_.refuses_requests) {
     metrics().CountRefusal(result_code::kLeaving);
     co_await responder.Send(ErrorResponse(
         Refusal(result_code::kLeaving, "this host is leaving"), {}));
--- a/src/gateway/process/caller_front.h
+++ b/src/gateway/process/caller_frontend.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // One thread that serves callers.
-#ifndef VALELEDGE_GATEWAY_PROCESS_CALLER_FRONT_H_
-#define VALELEDGE_GATEWAY_PROCESS_CALLER_FRONT_H_
+#ifndef VALELEDGE_GATEWAY_PROCESS_CALLER_FRONTEND_H_
+#define VALELEDGE_GATEWAY_PROCESS_CALLER_FRONTEND_H_
 
 #include <memory>
 #include <random>
@@ -31,14 +31,14 @@
   retry_budgets budgets;
   request_journal journal;
   // Refuses new work from now on.
-  std::atomic<bool> refusing = false;
+  std::atomic<bool> refuses_requests = false;
 };
 
 // Accepts callers and answers their requests on a thread of its own.
-class caller_front {
+class caller_frontend {
  public:
-  caller_front(gateway_shared& shared, int number);
-  ~caller_front();
+  caller_frontend(gateway_shared& shared, int number);
+  ~caller_frontend();
 
   base::result<void> Start();
   // Accepts nothing more; from any thread.
@@ -55,7 +55,8 @@
 
   // Runs `work` on the peers' thread; an error if its ring is full.
   template <typename value_type, typename work_type>
-  boost::asio::awaitable<base::result<value_type>> OnPeers(work_type work) {
+  boost::asio::awaitable<base::result<value_type>> RunOnPeerThread(
+      work_type work) {
     auto value = co_await base::RunOn<base::result<value_type>>(
         shared_.node.peers(), std::move(work));
     if (!value) {
@@ -74,7 +75,7 @@
   std::string RenderModels() const;
 
   gateway_shared& shared_;
-  base::duty duty_;
+  base::duty thread_;
   std::unique_ptr<net::http_client> http_;
   std::unique_ptr<net::http_server> server_;
   std::mt19937_64 random_{std::random_device{}()};
@@ -83,4 +84,4 @@
 
 }  // namespace valeledge::gateway
 
-#endif  // VALELEDGE_GATEWAY_PROCESS_CALLER_FRONT_H_
+#endif  // VALELEDGE_GATEWAY_PROCESS_CALLER_FRONTEND_H_
--- a/src/gateway/process/fallback.cc
+++ b/src/gateway/process/fallback_router.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "gateway/process/fallback.h"
+#include "gateway/process/fallback_router.h"
 
 #include <algorithm>
 
@@ -31,8 +31,8 @@
   return out;
 }
 
-std::optional<chosen_server> fallback::Choose(
-    std::string_view way,
+std::optional<chosen_server> fallback_router::Choose(
+    std::string_view strategy,
     const table::snapshot& table,
     const node::member_view& view,
     decisions::unit_hash unit,
@@ -45,9 +45,9 @@
     return std::nullopt;
   std::uniform_int_distribution<std::size_t> any(0, servers.size() - 1);
   const table::row* chosen = servers[any(random_)];
-  if (way == "round_robin")
-    chosen = servers[turn_++ % servers.size()];
-  if (way == "two_choices") {
+  if (strategy == "round_robin")
+    chosen = servers[next_index_++ % servers.size()];
+  if (strategy == "two_choices") {
     const table::row* other = servers[any(random_)];
     if (in_flight_[other->name] < in_flight_[chosen->name])
       chosen = other;
@@ -56,7 +56,7 @@
   return chosen_server{chosen->name, chosen->address, table::CellOf(*chosen)};
 }
 
-void fallback::End(const std::string& server) {
+void fallback_router::EndAttempt(const std::string& server) {
   const auto found = in_flight_.find(server);
   if (found != in_flight_.end() && --found->second <= 0)
     in_flight_.erase(found);
--- a/src/gateway/process/fallback.h
+++ b/src/gateway/process/fallback_router.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // How a gateway chooses a backend server alone: when no scheduler can be
 // reached, and as the plain ways that scheduling is measured against.
-#ifndef VALELEDGE_GATEWAY_PROCESS_FALLBACK_H_
-#define VALELEDGE_GATEWAY_PROCESS_FALLBACK_H_
+#ifndef VALELEDGE_GATEWAY_PROCESS_FALLBACK_ROUTER_H_
+#define VALELEDGE_GATEWAY_PROCESS_FALLBACK_ROUTER_H_
 
 #include <cstdint>
 #include <map>
@@ -26,22 +26,22 @@
 };
 
 // Keeps its own counts of what it sent; lives on the peers' thread.
-class fallback {
+class fallback_router {
  public:
-  // Chooses by `way`: "random", "round_robin" or "two_choices" (the less busy
-  // of two by own counts), among the servers that gossip says are ready.
-  std::optional<chosen_server> Choose(std::string_view way,
+  // Chooses by `strategy`: "random", "round_robin" or "two_choices" (the less
+  // busy of two by own counts), among the servers that gossip says are ready.
+  std::optional<chosen_server> Choose(std::string_view strategy,
                                       const table::snapshot& table,
                                       const node::member_view& view,
                                       decisions::unit_hash unit,
                                       const std::vector<std::string>& avoid);
 
   // An attempt at this server has ended.
-  void End(const std::string& server);
+  void EndAttempt(const std::string& server);
 
  private:
   std::map<std::string, std::int64_t> in_flight_;
-  std::uint64_t turn_ = 0;
+  std::uint64_t next_index_ = 0;
   std::mt19937_64 random_{std::random_device{}()};
 };
 
@@ -52,4 +52,4 @@
 
 }  // namespace valeledge::gateway
 
-#endif  // VALELEDGE_GATEWAY_PROCESS_FALLBACK_H_
+#endif  // VALELEDGE_GATEWAY_PROCESS_FALLBACK_ROUTER_H_
--- a/src/gateway/process/gateway.cc
+++ b/src/gateway/process/gateway.cc
@@ -20,8 +20,8 @@
     return started;
   shared_.grants.Start();
   for (int i = 0; i < shared_.settings.caller_threads; ++i) {
-    fronts_.push_back(std::make_unique<caller_front>(shared_, i));
-    const auto listening = fronts_.back()->Start();
+    frontends_.push_back(std::make_unique<caller_frontend>(shared_, i));
+    const auto listening = frontends_.back()->Start();
     if (!listening)
       return listening;
   }
@@ -34,19 +34,19 @@
 }
 
 void gateway::RefuseNewWork() {
-  shared_.refusing = true;
-  for (const auto& front : fronts_)
-    front->Drain();
+  shared_.refuses_requests = true;
+  for (const auto& frontend : frontends_)
+    frontend->Drain();
 }
 
 bool gateway::IsIdle() const {
   return std::ranges::all_of(
-      fronts_, [](const auto& front) { return front->active() == 0; });
+      frontends_, [](const auto& frontend) { return frontend->active() == 0; });
 }
 
 void gateway::Stop() {
-  for (const auto& front : fronts_)
-    front->Stop();
+  for (const auto& frontend : frontends_)
+    frontend->Stop();
   shared_.node.Stop();
 }
 
--- a/src/gateway/process/gateway.h
+++ b/src/gateway/process/gateway.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 
 namespace valeledge::gateway {
 
@@ -23,7 +23,7 @@
 
  private:
   gateway_shared shared_;
-  std::vector<std::unique_ptr<caller_front>> fronts_;
+  std::vector<std::unique_ptr<caller_frontend>> frontends_;
 };
 
 }  // namespace valeledge::gateway
--- a/src/gateway/process/grant_client.cc
+++ b/src/gateway/process/grant_client.cc
@@ -19,28 +19,29 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
 // Schedulers asked for one grant before the gateway chooses alone.
-constexpr int kSchedulersAsked = 3;
+constexpr int kMaxSchedulerAttempts = 3;
 
 // Claims are told to this many schedulers in turn.
-constexpr int kClaimTries = 2;
+constexpr int kMaxClaimAttempts = 2;
 
-wire::grant_request Encode(const grant_wish& wish, const std::string& cell) {
-  wire::grant_request request;
-  request.request_id = wish.request_id;
-  request.attempt_id = wish.attempt_id;
-  request.cell = cell;
-  request.partner = wish.partner;
-  request.model = wish.unit;
-  request.prefix_hash = wish.prefix_hash;
-  request.estimated_tokens = wish.tokens;
-  request.priority = wish.priority;
-  request.remaining_us = wish.patience.count();
-  request.avoid = wish.avoid;
-  if (!wish.idempotency_key.empty()) {
-    request.__set_idempotency_key(wish.idempotency_key);
-    request.__set_request_digest(wish.request_digest);
+wire::grant_request Encode(const scheduling_request& request,
+                           const std::string& cell) {
+  wire::grant_request encoded;
+  encoded.request_id = request.request_id;
+  encoded.attempt_id = request.attempt_id;
+  encoded.cell = cell;
+  encoded.partner = request.partner;
+  encoded.model = request.unit;
+  encoded.prefix_hash = request.prefix_hash;
+  encoded.estimated_tokens = request.tokens;
+  encoded.priority = request.priority;
+  encoded.remaining_us = request.grant_timeout.count();
+  encoded.avoid = request.avoid;
+  if (!request.idempotency_key.empty()) {
+    encoded.__set_idempotency_key(request.idempotency_key);
+    encoded.__set_request_digest(request.request_digest);
   }
-  return request;
+  return encoded;
 }
 
 base::error RefusalOf(const wire::grant_reply& reply) {
@@ -63,7 +64,7 @@
 
 // Refusals that hold for one cell: another may have room. Limits and claims
 // hold everywhere.
-bool MayAskElsewhere(result_code code) {
+bool MayTryOtherCell(result_code code) {
   return code == result_code::kNoBackendServer ||
          code == result_code::kOverloaded ||
          code == result_code::kDeadlineUnreachable;
@@ -74,21 +75,21 @@
          static_cast<std::int32_t>(membership::member_health::kAlive);
 }
 
-base::error NoServer(const grant_wish& wish) {
+base::error NoServerError(const scheduling_request& request) {
   return {result_code::kNoBackendServer, base::outcome::kNotRun,
-          "no backend server is ready for " + wish.unit, kUsualComeBack};
+          "no backend server is ready for " + request.unit, kDefaultRetryAfter};
 }
 
 }  // namespace
 
 grant_client::grant_client(node::node& node, std::string routing)
-    : node_(node), routing_(std::move(routing)), ending_(node) {}
+    : node_(node), routing_(std::move(routing)), quarantine_(node) {}
 
 void grant_client::Start() {
-  asio::co_spawn(node_.peers().context(), RepeatInFlight(), asio::detached);
+  asio::co_spawn(node_.peers().context(), ReportInFlight(), asio::detached);
 }
 
-std::vector<decisions::cell_view> grant_client::CellsFor(
+std::vector<decisions::cell_view> grant_client::CandidateCells(
     const table::snapshot& table,
     const node::member_view& view,
     decisions::unit_hash unit) {
@@ -101,13 +102,14 @@
       continue;
     last = cell;
     decisions::cell_view each{cell, server->zone, 0, 0, 1};
-    const auto heard = view.records.find("load/" + cell);
-    auto load = heard == view.records.end()
+    const auto gossiped = view.records.find("load/" + cell);
+    auto load = gossiped == view.records.end()
                     ? std::nullopt
-                    : wire::DecodeCellLoad(heard->second.value);
-    const auto answered = loads_.find(cell);
-    if (answered != loads_.end() && now - answered->second.at < kAnsweredLoad)
-      load = answered->second.load;
+                    : wire::DecodeCellLoad(gossiped->second.value);
+    const auto reported = reported_loads_.find(cell);
+    if (reported != reported_loads_.end() &&
+        now - reported->second.at < kReportedLoadLifetime)
+      load = reported->second.load;
     if (load) {
       each.queued = load->queued;
       each.in_flight = load->in_flight;
@@ -127,11 +129,12 @@
 
 void grant_client::Avoid(const cell_owner& owner) {
   avoided_[owner.address] = {
-      owner.incarnation, std::chrono::steady_clock::now() + kAvoidScheduler};
+      owner.incarnation,
+      std::chrono::steady_clock::now() + kSchedulerAvoidance};
   node_.metrics().CountRetry(result_code::kPeerUnreachable);
 }
 
-std::optional<grant_client::cell_owner> grant_client::OwnerOf(
+std::optional<grant_client::cell_owner> grant_client::FindOwner(
     const node::member_view& view,
     const std::string& cell,
     const std::string& zone) {
@@ -154,135 +157,139 @@
   return cell_owner{*base::ParseEndpoint(owner->address), owner->incarnation};
 }
 
-base::result<grant> grant_client::ChooseAlone(const grant_wish& wish,
-                                              std::string_view way) {
+base::result<grant> grant_client::ChooseWithoutScheduler(
+    const scheduling_request& request,
+    std::string_view strategy) {
   const auto chosen =
-      fallback_.Choose(way, *node_.table().Get(), *node_.View(),
-                       decisions::HashUnit(wish.unit), wish.avoid);
+      router_.Choose(strategy, *node_.table().Get(), *node_.View(),
+                     decisions::HashUnit(request.unit), request.avoid);
   if (!chosen)
-    return tl::make_unexpected(NoServer(wish));
-  grant given;
-  given.attempt_id = wish.attempt_id;
-  given.digest = wish.digest;
-  given.partner = wish.partner;
-  given.server = chosen->name;
-  given.address = *base::ParseEndpoint(chosen->address);
-  given.cell = chosen->cell;
-  return given;
+    return tl::make_unexpected(NoServerError(request));
+  grant issued;
+  issued.attempt_id = request.attempt_id;
+  issued.digest = request.digest;
+  issued.partner = request.partner;
+  issued.server = chosen->name;
+  issued.address = *base::ParseEndpoint(chosen->address);
+  issued.cell = chosen->cell;
+  return issued;
 }
 
-asio::awaitable<base::result<grant>> grant_client::AskScheduler(
-    const grant_wish& wish,
+asio::awaitable<base::result<grant>> grant_client::RequestFromScheduler(
+    const scheduling_request& request,
     std::string cell,
     base::endpoint scheduler) {
   wire::envelope call;
-  call.__set_grant(Encode(wish, cell));
-  const auto reply = co_await node_.CallPeer(scheduler, std::move(call),
-                                             wish.patience + kGrantGrace);
+  call.__set_grant(Encode(request, cell));
+  const auto reply = co_await node_.CallPeer(
+      scheduler, std::move(call), request.grant_timeout + kGrantGracePeriod);
   if (!reply)
     co_return tl::make_unexpected(reply.error());
   if (!reply->__isset.granted) {
     co_return base::NotRun(result_code::kPeerUnreachable,
                            "the scheduler did not understand the call");
   }
-  const wire::grant_reply& answer = reply->granted;
-  if (answer.__isset.load)
-    loads_[cell] = {answer.load, std::chrono::steady_clock::now()};
-  if (answer.code != 0)
-    co_return tl::make_unexpected(RefusalOf(answer));
-  const auto address = base::ParseEndpoint(answer.address);
-  grant given;
-  given.attempt_id = wish.attempt_id;
-  given.digest = wish.digest;
-  given.partner = wish.partner;
-  given.server = answer.server;
-  given.cell = std::move(cell);
-  given.scheduler = scheduler;
-  given.claim_revision = answer.claim_revision;
-  if (answer.__isset.recorded_answer) {
-    given.recorded_answer = answer.recorded_answer;
-    given.recorded_status = answer.recorded_status;
-    given.recorded_type = answer.recorded_type;
-    co_return given;
+  const wire::grant_reply& response = reply->granted;
+  if (response.__isset.load)
+    reported_loads_[cell] = {response.load, std::chrono::steady_clock::now()};
+  if (response.code != 0)
+    co_return tl::make_unexpected(RefusalOf(response));
+  const auto address = base::ParseEndpoint(response.address);
+  grant issued;
+  issued.attempt_id = request.attempt_id;
+  issued.digest = request.digest;
+  issued.partner = request.partner;
+  issued.server = response.server;
+  issued.cell = std::move(cell);
+  issued.scheduler = scheduler;
+  issued.claim_revision = response.claim_revision;
+  if (response.__isset.recorded_answer) {
+    issued.recorded_answer = response.recorded_answer;
+    issued.recorded_status = response.recorded_status;
+    issued.recorded_type = response.recorded_type;
+    co_return issued;
   }
   if (!address) {
     co_return base::NotRun(result_code::kPeerUnreachable,
                            "the grant names no address");
   }
-  given.address = *address;
-  in_flight_[given.attempt_id] = given;
-  co_return given;
+  issued.address = *address;
+  in_flight_[issued.attempt_id] = issued;
+  co_return issued;
 }
 
-asio::awaitable<base::result<grant>> grant_client::Ask(grant_wish wish) {
-  if (const auto held = ending_.HeldFor(wish.digest)) {
+asio::awaitable<base::result<grant>> grant_client::RequestGrant(
+    scheduling_request request) {
+  if (const auto held = quarantine_.RemainingQuarantine(request.digest)) {
     auto refusal =
         base::MakeError(result_code::kHeldBack, base::outcome::kNotRun,
                         "backend servers ended under this request");
     refusal.retry_after = *held;
     co_return tl::make_unexpected(std::move(refusal));
   }
-  const decisions::unit_hash unit = decisions::HashUnit(wish.unit);
-  const bool alone = routing_ != "scheduler" && wish.idempotency_key.empty();
+  const decisions::unit_hash unit = decisions::HashUnit(request.unit);
+  const bool alone = routing_ != "scheduler" && request.idempotency_key.empty();
   if (alone)
-    co_return ChooseAlone(wish, routing_);
+    co_return ChooseWithoutScheduler(request, routing_);
   std::set<std::string> refused_cells;
   std::optional<base::error> refusal;
-  for (int asked = 0; asked < kSchedulersAsked; ++asked) {
+  for (int attempt = 0; attempt < kMaxSchedulerAttempts; ++attempt) {
     const auto table = node_.table().Get();
     const auto view = node_.View();
-    auto cells = CellsFor(*table, *view, unit);
+    auto cells = CandidateCells(*table, *view, unit);
     std::erase_if(cells, [&](const decisions::cell_view& each) {
       return refused_cells.contains(each.cell);
     });
     const auto chosen =
         decisions::ChooseCell(cells, node_.settings().zone, random_);
     if (!chosen)
-      co_return tl::make_unexpected(refusal.value_or(NoServer(wish)));
+      co_return tl::make_unexpected(refusal.value_or(NoServerError(request)));
     const std::string cell = cells[*chosen].cell;
-    const auto owner = OwnerOf(*view, cell, cells[*chosen].zone);
+    const auto owner = FindOwner(*view, cell, cells[*chosen].zone);
     if (!owner)
       break;
-    auto given = co_await AskScheduler(wish, cell, owner->address);
-    if (!given && MayAskElsewhere(given.error().code)) {
+    auto issued = co_await RequestFromScheduler(request, cell, owner->address);
+    if (!issued && MayTryOtherCell(issued.error().code)) {
       refused_cells.insert(cell);
-      refusal = given.error();
+      refusal = issued.error();
       continue;
     }
     const bool unreachable =
-        !given && given.error().code == result_code::kPeerUnreachable;
+        !issued && issued.error().code == result_code::kPeerUnreachable;
     if (!unreachable)
-      co_return given;
+      co_return issued;
     Avoid(*owner);
   }
   if (refusal)
     co_return tl::make_unexpected(*refusal);
-  if (!wish.idempotency_key.empty()) {
-    co_return tl::make_unexpected(base::error{
-        result_code::kClaimUnavailable, base::outcome::kNotRun,
-        "no scheduler could be reached to record the claim", kUsualComeBack});
+  if (!request.idempotency_key.empty()) {
+    co_return tl::make_unexpected(
+        base::error{result_code::kClaimUnavailable, base::outcome::kNotRun,
+                    "no scheduler could be reached to record the claim",
+                    kDefaultRetryAfter});
   }
   base::Log("gateway", base::log_event::kGrantFallback,
-            {{"request", wish.request_id}});
+            {{"request", request.request_id}});
   node_.metrics().Counter("valeledge_grants_alone_total").Add();
-  co_return ChooseAlone(wish, "two_choices");
+  co_return ChooseWithoutScheduler(request, "two_choices");
 }
 
-void grant_client::End(const grant& given, const attempt_result& result) {
-  in_flight_.erase(given.attempt_id);
-  if (result.server_ended)
-    ending_.NoteEnd(given.digest, given.server, result.took);
-  else if (result.answered_well)
-    ending_.NoteWhole(given.digest);
-  if (!given.scheduler) {
-    fallback_.End(given.server);
+void grant_client::EndAttempt(const grant& issued,
+                              const attempt_result& result) {
+  in_flight_.erase(issued.attempt_id);
+  if (result.server_crashed)
+    quarantine_.RecordCrash(issued.digest, issued.server, result.took);
+  else if (result.succeeded)
+    quarantine_.RecordCompletion(issued.digest);
+  if (!issued.scheduler) {
+    router_.EndAttempt(issued.server);
     return;
   }
   wire::attempt_end ended;
-  ended.attempt_id = given.attempt_id;
-  ended.cell = given.cell;
-  ended.server = given.server;
-  ended.partner = given.partner;
+  ended.attempt_id = issued.attempt_id;
+  ended.cell = issued.cell;
+  ended.server = issued.server;
+  ended.partner = issued.partner;
   ended.outcome = static_cast<std::int32_t>(result.what_ran);
   ended.unreachable = result.unreachable;
   ended.draining = result.draining;
@@ -290,23 +297,23 @@
   ended.first_token_us = result.first_token.count();
   wire::envelope call;
   call.__set_ended(ended);
-  node_.channels().Notify(*given.scheduler, call);
+  node_.channels().Notify(*issued.scheduler, call);
 }
 
 asio::awaitable<base::result<void>> grant_client::UpdateClaim(
     wire::claim_update update,
     std::optional<base::endpoint> scheduler) {
-  for (int attempt = 0; attempt < kClaimTries; ++attempt) {
+  for (int attempt = 0; attempt < kMaxClaimAttempts; ++attempt) {
     const auto view = node_.View();
-    const auto owner = OwnerOf(*view, update.service_name, {});
+    const auto owner = FindOwner(*view, update.service_name, {});
     if (!scheduler && owner)
       scheduler = owner->address;
     if (!scheduler)
       break;
     wire::envelope call;
     call.__set_claim(update);
-    const auto reply =
-        co_await node_.CallPeer(*scheduler, std::move(call), kRecordTimeout);
+    const auto reply = co_await node_.CallPeer(*scheduler, std::move(call),
+                                               kClaimUpdateTimeout);
     if (reply && reply->__isset.done && reply->done.code == 0)
       co_return base::result<void>();
     scheduler.reset();
@@ -315,18 +322,18 @@
                           "the claim was not updated");
 }
 
-asio::awaitable<void> grant_client::RepeatInFlight() {
+asio::awaitable<void> grant_client::ReportInFlight() {
   asio::steady_timer timer(node_.peers().context());
   while (true) {
-    timer.expires_after(kInFlightInterval);
+    timer.expires_after(kInFlightReportInterval);
     co_await timer.async_wait(kAwait);
     std::map<std::string, wire::in_flight_report> reports;
-    for (const auto& [attempt, given] : in_flight_) {
+    for (const auto& [attempt, issued] : in_flight_) {
       wire::attempt_end entry;
       entry.attempt_id = attempt;
-      entry.server = given.server;
-      entry.partner = given.partner;
-      reports[given.cell].attempts.push_back(std::move(entry));
+      entry.server = issued.server;
+      entry.partner = issued.partner;
+      reports[issued.cell].attempts.push_back(std::move(entry));
     }
     const auto table = node_.table().Get();
     const auto view = node_.View();
@@ -334,7 +341,7 @@
       const auto servers = table->cells.find(cell);
       if (servers == table->cells.end())
         continue;
-      const auto owner = OwnerOf(*view, cell, servers->second.front()->zone);
+      const auto owner = FindOwner(*view, cell, servers->second.front()->zone);
       if (!owner)
         continue;
       report.cell = cell;
--- a/src/gateway/process/grant_client.h
+++ b/src/gateway/process/grant_client.h
@@ -16,18 +16,18 @@
 
 #include "base/error.h"
 #include "decisions/routing.h"
-#include "gateway/process/ending_requests.h"
-#include "gateway/process/fallback.h"
+#include "gateway/process/request_quarantine.h"
+#include "gateway/process/fallback_router.h"
 #include "node/node.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::gateway {
 
 // What a gateway wants to have served.
-struct grant_wish {
+struct scheduling_request {
   std::string request_id;
   std::string attempt_id;
-  // See request_frame.
+  // See request_common.
   std::uint64_t digest = 0;
   std::string partner;
   // "model/NAME", "adapter/NAME" or "service/NAME".
@@ -38,7 +38,7 @@
   std::int32_t tokens = 1;
   std::int32_t priority = 5;
   // How long a grant may take and still be of use.
-  std::chrono::microseconds patience{0};
+  std::chrono::microseconds grant_timeout{0};
   std::vector<std::string> avoid;
   // Set for calls that may not be repeated.
   std::string idempotency_key;
@@ -48,7 +48,7 @@
 // Leave to send one attempt to one backend server.
 struct grant {
   std::string attempt_id;
-  // See request_frame.
+  // See request_common.
   std::uint64_t digest = 0;
   std::string partner;
   std::string server;
@@ -68,9 +68,9 @@
   base::outcome what_ran = base::outcome::kUnknown;
   bool unreachable = false;
   // The server closed the connection at the beginning of its answer or before.
-  bool server_ended = false;
+  bool server_crashed = false;
   // The whole answer has come, and is no failure of the server.
-  bool answered_well = false;
+  bool succeeded = false;
   // From the grant to the end.
   std::chrono::microseconds took{0};
   bool draining = false;
@@ -87,10 +87,11 @@
   void Start();
 
   // A grant, or the final refusal with its time to come back.
-  boost::asio::awaitable<base::result<grant>> Ask(grant_wish wish);
+  boost::asio::awaitable<base::result<grant>> RequestGrant(
+      scheduling_request request);
 
   // Tells the scheduler that an attempt has ended.
-  void End(const grant& given, const attempt_result& result);
+  void EndAttempt(const grant& issued, const attempt_result& result);
 
   // Records or releases a claim; the error leaves it as it is.
   boost::asio::awaitable<base::result<void>> UpdateClaim(
@@ -98,9 +99,10 @@
       std::optional<base::endpoint> scheduler);
 
  private:
-  std::vector<decisions::cell_view> CellsFor(const table::snapshot& table,
-                                             const node::member_view& view,
-                                             decisions::unit_hash unit);
+  std::vector<decisions::cell_view> CandidateCells(
+      const table::snapshot& table,
+      const node::member_view& view,
+      decisions::unit_hash unit);
   // A scheduler to ask, and the run of it that is known.
   struct cell_owner {
     base::endpoint address;
@@ -115,29 +117,30 @@
 
   bool IsAvoided(const base::endpoint& address, std::int64_t incarnation) const;
   void Avoid(const cell_owner& owner);
-  std::optional<cell_owner> OwnerOf(const node::member_view& view,
-                                    const std::string& cell,
-                                    const std::string& zone);
-  base::result<grant> ChooseAlone(const grant_wish& wish, std::string_view way);
-  boost::asio::awaitable<base::result<grant>> AskScheduler(
-      const grant_wish& wish,
+  std::optional<cell_owner> FindOwner(const node::member_view& view,
+                                      const std::string& cell,
+                                      const std::string& zone);
+  base::result<grant> ChooseWithoutScheduler(const scheduling_request& request,
+                                             std::string_view strategy);
+  boost::asio::awaitable<base::result<grant>> RequestFromScheduler(
+      const scheduling_request& request,
       std::string cell,
       base::endpoint scheduler);
-  boost::asio::awaitable<void> RepeatInFlight();
+  boost::asio::awaitable<void> ReportInFlight();
 
   node::node& node_;
   std::string routing_;
-  fallback fallback_;
-  ending_requests ending_;
+  fallback_router router_;
+  request_quarantine quarantine_;
   std::mt19937_64 random_{std::random_device{}()};
   // Schedulers that could not be reached.
   std::map<base::endpoint, avoided_run> avoided_;
   // Load of each cell from its newest answer, and when that came.
-  struct answered_load {
+  struct reported_load {
     wire::cell_load load;
     base::time_point at;
   };
-  std::map<std::string, answered_load> loads_;
+  std::map<std::string, reported_load> reported_loads_;
   std::map<std::string, grant> in_flight_;
 };
 
--- a/src/gateway/process/request_journal.cc
+++ b/src/gateway/process/request_journal.cc
@@ -11,7 +11,7 @@
   entry.time = base::FormatNow();
   const std::lock_guard lock(mutex_);
   entries_.push_back(std::move(entry));
-  if (entries_.size() > kJournalEntries)
+  if (entries_.size() > kMaxJournalEntries)
     entries_.pop_front();
 }
 
--- a/src/gateway/process/request_journal.h
+++ b/src/gateway/process/request_journal.h
@@ -28,7 +28,7 @@
 };
 
 // Entries that one gateway remembers.
-inline constexpr std::size_t kJournalEntries = 4096;
+inline constexpr std::size_t kMaxJournalEntries = 4096;
 
 // Safe from any thread.
 class request_journal {
--- a/src/gateway/process/ending_requests.cc
+++ b/src/gateway/process/request_quarantine.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "gateway/process/ending_requests.h"
+#include "gateway/process/request_quarantine.h"
 
 #include "base/identifier.h"
 #include "base/logging.h"
@@ -15,58 +15,59 @@
 constexpr std::string_view kCategory = "quarantine";
 constexpr std::string_view kEndsPrefix = "ends/";
 
-void LogHeld(std::uint64_t digest) {
+void LogQuarantined(std::uint64_t digest) {
   base::Log(kCategory, base::log_event::kRequestHeld,
             {{"digest", base::HexText(digest)}});
 }
 
 }  // namespace
 
-std::optional<milliseconds> ending_requests::HeldFor(std::uint64_t digest) {
+std::optional<milliseconds> request_quarantine::RemainingQuarantine(
+    std::uint64_t digest) {
   const auto now = std::chrono::steady_clock::now();
   Refresh(now);
   return decisions::HeldFor(known_, digest, now);
 }
 
-void ending_requests::NoteEnd(std::uint64_t digest,
-                              std::string_view server,
-                              microseconds took) {
+void request_quarantine::RecordCrash(std::uint64_t digest,
+                                     std::string_view server,
+                                     microseconds took) {
   const auto now = std::chrono::steady_clock::now();
   const auto hash = static_cast<std::int32_t>(base::StableHash(server));
   const decisions::server_end end{hash, now - took, now};
-  Tell({digest, end, now});
+  Publish({digest, end, now});
   if (decisions::NoteEnd(known_, digest, end, now))
-    LogHeld(digest);
+    LogQuarantined(digest);
 }
 
-void ending_requests::NoteWhole(std::uint64_t digest) {
+void request_quarantine::RecordCompletion(std::uint64_t digest) {
   if (!decisions::NoteWhole(known_, digest))
     return;
-  Tell({digest, std::nullopt, std::chrono::steady_clock::now()});
+  Publish({digest, std::nullopt, std::chrono::steady_clock::now()});
 }
 
-void ending_requests::Tell(const decisions::quarantine_fact& fact) {
-  decisions::AddFact(told_, fact);
+void request_quarantine::Publish(const decisions::quarantine_fact& fact) {
+  decisions::AddFact(observed_, fact);
   node_.AnnounceRecord(std::string(kEndsPrefix) + node_.id(),
-                       wire::Encode(decisions::NewsOf(told_, fact.at)));
+                       wire::Encode(decisions::NewsOf(observed_, fact.at)));
 }
 
-void ending_requests::Refresh(base::time_point now) {
+void request_quarantine::Refresh(base::time_point now) {
   decisions::Sweep(known_, now);
   const auto view = node_.View();
   const std::string own = std::string(kEndsPrefix) + node_.id();
   for (auto at = view->records.lower_bound(kEndsPrefix);
        at != view->records.end() && at->first.starts_with(kEndsPrefix); ++at) {
-    std::int64_t& taken = taken_[at->first];
-    if (at->first == own || at->second.stamp <= taken)
+    std::int64_t& applied_stamp = applied_stamps_[at->first];
+    if (at->first == own || at->second.stamp <= applied_stamp)
       continue;
-    taken = at->second.stamp;
-    const auto news = wire::DecodeEndNews(at->second.value);
-    if (!news)
+    applied_stamp = at->second.stamp;
+    const auto update = wire::DecodeEndNews(at->second.value);
+    if (!update)
       continue;
-    decisions::DropCleared(told_, *news);
-    for (const std::uint64_t digest : decisions::TakeNews(known_, *news, now))
-      LogHeld(digest);
+    decisions::DropCleared(observed_, *update);
+    for (const std::uint64_t digest : decisions::TakeNews(known_, *update, now))
+      LogQuarantined(digest);
   }
 }
 
--- a/src/gateway/process/retry_budgets.cc
+++ b/src/gateway/process/retry_budgets.cc
@@ -3,7 +3,8 @@
 
 namespace valeledge::gateway {
 
-void retry_budgets::Earn(const std::string& partner, const std::string& unit) {
+void retry_budgets::RecordRequest(const std::string& partner,
+                                  const std::string& unit) {
   const std::lock_guard lock(mutex_);
   decisions::EarnRetry(budgets_[{partner, unit}]);
 }
--- a/src/gateway/process/retry_budgets.h
+++ b/src/gateway/process/retry_budgets.h
@@ -15,7 +15,7 @@
 class retry_budgets {
  public:
   // Counts a request.
-  void Earn(const std::string& partner, const std::string& unit);
+  void RecordRequest(const std::string& partner, const std::string& unit);
 
   // Decides after a failed attempt and takes from the budget.
   decisions::retry_verdict Decide(const std::string& partner,
--- a/src/gateway/request/attempt.cc
+++ b/src/gateway/request/attempt.cc
@@ -37,38 +37,38 @@
 }
 
 net::http_request BuildRequest(const chat_request& request,
-                               const grant& given,
-                               const answer_so_far& answer) {
+                               const grant& issued,
+                               const partial_response& response) {
   json::object body = request.body;
   body["stream"] = true;
-  body["request_id"] = given.attempt_id;
-  body["priority"] = request.frame.priority;
-  if (answer.tokens > 0) {
-    body["resume_from"] = answer.tokens;
-    body["resume_text"] = answer.text;
+  body["request_id"] = issued.attempt_id;
+  body["priority"] = request.common.priority;
+  if (response.tokens > 0) {
+    body["resume_from"] = response.tokens;
+    body["resume_text"] = response.text;
   }
   auto out = net::MakeRequest(http::verb::post, "/v1/chat/completions",
                               json::serialize(body));
-  out.set(kAttemptField, given.attempt_id);
+  out.set(kAttemptField, issued.attempt_id);
   return out;
 }
 
-// The state of reading one attempt's answer.
-struct answer_reading {
+// The state of reading one attempt's response.
+struct response_reader {
   decisions::answer_progress progress;
   event_reader events;
   bool end_seen = false;
   bool caller_gone = false;
 };
 
-base::result<decisions::answer_chunk> CheckEvent(answer_reading& reading,
+base::result<decisions::answer_chunk> CheckEvent(response_reader& reader,
                                                  const std::string& data) {
   auto chunk = ParseChunk(data);
   if (!chunk) {
     return base::Unknown(result_code::kAnswerBroken,
                          "the backend server sent what is not a chunk");
   }
-  const auto fault = decisions::AcceptChunk(reading.progress, *chunk);
+  const auto fault = decisions::AcceptChunk(reader.progress, *chunk);
   if (fault) {
     return base::Unknown(
         result_code::kAnswerBroken,
@@ -78,61 +78,62 @@
 }
 
 // Passes on every whole event that has come; an error ends the attempt.
-asio::awaitable<base::result<void>> PassOn(answer_reading& reading,
-                                           answer_so_far& answer,
-                                           const chunk_sink& sink) {
-  while (auto data = reading.events.Next()) {
+asio::awaitable<base::result<void>> ForwardEvents(response_reader& reader,
+                                                  partial_response& response,
+                                                  const chunk_sink& sink) {
+  while (auto data = reader.events.Next()) {
     if (*data == kEndMarker) {
-      reading.end_seen = true;
+      reader.end_seen = true;
       co_return base::result<void>();
     }
-    const auto chunk = CheckEvent(reading, *data);
+    const auto chunk = CheckEvent(reader, *data);
     if (!chunk)
       co_return tl::make_unexpected(chunk.error());
-    answer.tokens = reading.progress.next_offset;
-    answer.text.append(chunk->text);
-    answer.finish_reason = chunk->finish_reason;
+    response.tokens = reader.progress.next_offset;
+    response.text.append(chunk->text);
+    response.finish_reason = chunk->finish_reason;
     const bool taken = co_await sink(*chunk);
     if (!taken) {
-      reading.caller_gone = true;
+      reader.caller_gone = true;
       co_return base::Unknown(result_code::kCallerGone, "the caller is gone");
     }
   }
-  if (reading.events.IsOverlong()) {
+  if (reader.events.IsOverlong()) {
     co_return base::Unknown(result_code::kAnswerBroken,
                             "the backend server sent an overlong event");
   }
   co_return base::result<void>();
 }
 
-asio::awaitable<base::result<void>> ReadAnswer(const chat_request& request,
-                                               const attempt_frame& frame,
-                                               answer_so_far& answer,
-                                               const chunk_sink& sink) {
-  answer_reading reading;
-  reading.progress.attempt = frame.given.attempt_id;
-  reading.progress.next_offset = answer.tokens;
-  while (!reading.end_seen) {
-    const auto patience =
-        std::min(Remaining(request.frame), frame.settings.stall_timeout);
-    const auto piece = co_await frame.open->ReadSome(patience);
+asio::awaitable<base::result<void>> ReadResponse(const chat_request& request,
+                                                 const attempt_context& context,
+                                                 partial_response& response,
+                                                 const chunk_sink& sink) {
+  response_reader reader;
+  reader.progress.attempt = context.issued.attempt_id;
+  reader.progress.next_offset = response.tokens;
+  while (!reader.end_seen) {
+    const auto timeout =
+        std::min(Remaining(request.common), context.settings.stall_timeout);
+    const auto piece = co_await context.open->ReadSome(timeout);
     if (!piece)
       co_return tl::make_unexpected(piece.error());
     if (piece->empty())
       break;
-    reading.events.Append(*piece);
-    const auto passed = co_await PassOn(reading, answer, sink);
-    if (!passed)
-      co_return passed;
+    reader.events.Append(*piece);
+    const auto forwarded = co_await ForwardEvents(reader, response, sink);
+    if (!forwarded)
+      co_return forwarded;
   }
-  if (!reading.end_seen || !reading.progress.finished) {
+  if (!reader.end_seen || !reader.progress.finished) {
     co_return base::Unknown(result_code::kAnswerBroken,
                             "the answer ended without its end marker");
   }
   // The transport's own end follows, so that the connection can be kept.
-  const auto rest = co_await frame.open->ReadSome(frame.settings.stall_timeout);
+  const auto rest =
+      co_await context.open->ReadSome(context.settings.stall_timeout);
   if (rest && !rest->empty())
-    frame.open->Abandon();
+    context.open->Abandon();
   co_return base::result<void>();
 }
 
@@ -160,62 +161,63 @@
   return status == 429 || status == 503;
 }
 
-asio::awaitable<attempt_end> RunChatAttempt(const chat_request& request,
-                                            attempt_frame frame,
-                                            answer_so_far& answer,
-                                            const chunk_sink& sink) {
-  attempt_end out;
+asio::awaitable<attempt_outcome> RunChatAttempt(const chat_request& request,
+                                                attempt_context context,
+                                                partial_response& response,
+                                                const chunk_sink& sink) {
+  attempt_outcome out;
   const auto started = std::chrono::steady_clock::now();
-  const std::int64_t tokens_before = answer.tokens;
-  const auto patience =
-      std::min(Remaining(request.frame), frame.settings.stall_timeout);
-  auto opened = co_await frame.http.Open(
-      frame.given.address, BuildRequest(request, frame.given, answer),
-      std::min(patience, frame.settings.connect_timeout), patience);
+  const std::int64_t tokens_before = response.tokens;
+  const auto timeout =
+      std::min(Remaining(request.common), context.settings.stall_timeout);
+  auto opened = co_await context.http.Open(
+      context.issued.address, BuildRequest(request, context.issued, response),
+      std::min(timeout, context.settings.connect_timeout), timeout);
   if (!opened) {
-    out.told.what_ran = opened.error().what_ran;
-    out.told.unreachable = true;
-    out.told.server_ended =
+    out.report.what_ran = opened.error().what_ran;
+    out.report.unreachable = true;
+    out.report.server_crashed =
         decisions::IsSuspect({opened.error().connection_lost, {}});
-    out.ended = tl::make_unexpected(opened.error());
+    out.result = tl::make_unexpected(opened.error());
     co_return out;
   }
-  frame.open = *opened;
+  context.open = *opened;
   const unsigned status =
       static_cast<unsigned>((*opened)->header().result_int());
   if (status != 200) {
     const bool refused = IsRefusal(status);
-    out.told.draining = IsDraining((*opened)->header());
-    out.told.what_ran =
+    out.report.draining = IsDraining((*opened)->header());
+    out.report.what_ran =
         refused ? base::outcome::kNotRun : base::outcome::kUnknown;
-    out.ended = tl::make_unexpected(base::error{
+    out.result = tl::make_unexpected(base::error{
         refused ? result_code::kBackendRefused : result_code::kOutcomeUnknown,
-        out.told.what_ran,
+        out.report.what_ran,
         "the backend server answered " + std::to_string(status), std::nullopt});
     (*opened)->Abandon();
-    frame.open.reset();
+    context.open.reset();
     co_return out;
   }
-  const chunk_sink noting =
+  const chunk_sink timed_sink =
       [&](const decisions::answer_chunk& chunk) -> asio::awaitable<bool> {
-    if (out.told.first_token.count() == 0) {
-      out.told.first_token =
+    if (out.report.first_token.count() == 0) {
+      out.report.first_token =
           std::chrono::duration_cast<std::chrono::microseconds>(
               std::chrono::steady_clock::now() - started);
     }
     return sink(chunk);
   };
-  out.ended = co_await ReadAnswer(request, frame, answer, noting);
-  if (!out.ended) {
+  out.result = co_await ReadResponse(request, context, response, timed_sink);
+  if (!out.result) {
     (*opened)->Abandon();
-    out.told.server_ended = decisions::IsSuspect(
-        BrokenAttemptOf(out.ended.error(), started, out.told.first_token));
+    out.report.server_crashed = decisions::IsSuspect(
+        BrokenAttemptOf(out.result.error(), started, out.report.first_token));
   }
-  frame.open.reset();
-  out.told.tokens = static_cast<std::int32_t>(answer.tokens - tokens_before);
-  out.told.answered_well = out.ended.has_value();
-  out.told.what_ran =
-      out.ended ? base::outcome::kCompleted : base::outcome::kUnknown;
+  context.open.reset();
+  out.report.tokens =
+      static_cast<std::int32_t>(response.tokens - tokens_before);
+  out.report.succeeded = out.result.has_value();
+  out.report.what_ran =
+      out.result ? base::outcome::kCompleted : base::outcome::kUnknown;
   co_return out;
 }
 
--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -23,38 +23,39 @@
 using chunk_sink =
     std::function<boost::asio::awaitable<bool>(const decisions::answer_chunk&)>;
 
-// The part of an answer that earlier attempts have passed on.
-struct answer_so_far {
+// The part of a response that earlier attempts have passed on.
+struct partial_response {
   std::int64_t tokens = 0;
   std::string text;
   std::string finish_reason;
 };
 
 // What one attempt needs beside its request.
-struct attempt_frame {
+struct attempt_context {
   const gateway_settings& settings;
   net::http_client& http;
-  const grant& given;
+  const grant& issued;
   // Set while an exchange is open, so that the caller's going away can end it.
   std::shared_ptr<net::http_exchange>& open;
 };
 
 // How an attempt ended: the error is that of the attempt, not yet the
 // request's.
-struct attempt_end {
-  base::result<void> ended;
-  attempt_result told;
+struct attempt_outcome {
+  base::result<void> result;
+  attempt_result report;
 };
 
-// Sends the request, resuming after what `answer` holds, and passes each chunk
-// of its own answer on, in order and whole. Ends well only if the answer's end
-// marker came.
-boost::asio::awaitable<attempt_end> RunChatAttempt(const chat_request& request,
-                                                   attempt_frame frame,
-                                                   answer_so_far& answer,
-                                                   const chunk_sink& sink);
+// Sends the request, resuming after what `response` holds, and passes each
+// chunk of its own response on, in order and whole. Ends well only if the
+// response's end marker came.
+boost::asio::awaitable<attempt_outcome> RunChatAttempt(
+    const chat_request& request,
+    attempt_context context,
+    partial_response& response,
+    const chunk_sink& sink);
 
-// True for an answer by which a backend server says that it did not run the
+// True for a response by which a backend server says that it did not run the
 // request: 429 or 503.
 bool IsRefusal(unsigned status);
 
--- a/src/gateway/request/attempt_loop.cc
+++ b/src/gateway/request/attempt_loop.cc
@@ -11,23 +11,23 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<bool> MayTryAgain(caller_front& front,
-                                  const request_frame& frame,
-                                  base::error failed,
-                                  bool idempotent,
-                                  std::int64_t attempts_made) {
-  const decisions::failed_attempt facts{failed.what_ran, idempotent,
-                                        attempts_made, Remaining(frame)};
-  const auto verdict =
-      front.shared().budgets.Decide(frame.partner, frame.unit, facts);
+asio::awaitable<bool> MayRetry(caller_frontend& frontend,
+                               const request_common& common,
+                               base::error failed,
+                               bool idempotent,
+                               std::int64_t attempts_made) {
+  const decisions::failed_attempt failed_attempt{
+      failed.what_ran, idempotent, attempts_made, Remaining(common)};
+  const auto verdict = frontend.shared().budgets.Decide(
+      common.partner, common.unit, failed_attempt);
   if (verdict == decisions::retry_verdict::kBudgetSpent)
-    front.metrics().CountRefusal(base::result_code::kRetryBudgetExhausted);
+    frontend.metrics().CountRefusal(base::result_code::kRetryBudgetExhausted);
   if (verdict != decisions::retry_verdict::kAgain)
     co_return false;
-  front.metrics().CountRetry(failed.code);
+  frontend.metrics().CountRetry(failed.code);
   asio::steady_timer pause(
       co_await asio::this_coro::executor,
-      decisions::RetryPause(attempts_made, front.random()));
+      decisions::RetryPause(attempts_made, frontend.random()));
   co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
   co_return true;
 }
--- a/src/gateway/request/attempt_loop.h
+++ b/src/gateway/request/attempt_loop.h
@@ -10,35 +10,35 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/error.h"
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 #include "gateway/request/chat_request.h"
 
 namespace valeledge::gateway {
 
 // Decides after a failed attempt, counts the decision, and pauses before
 // another attempt.
-boost::asio::awaitable<bool> MayTryAgain(caller_front& front,
-                                         const request_frame& frame,
-                                         base::error failed,
-                                         bool idempotent,
-                                         std::int64_t attempts_made);
+boost::asio::awaitable<bool> MayRetry(caller_frontend& frontend,
+                                      const request_common& common,
+                                      base::error failed,
+                                      bool idempotent,
+                                      std::int64_t attempts_made);
 
-// Runs `attempt` until it gives a value or `again` says no. The error's
+// Runs `attempt` until it gives a value or `may_retry` says no. The error's
 // outcome is unknown as soon as one attempt's was.
 template <typename value_type>
-boost::asio::awaitable<base::result<value_type>> RepeatAttempts(
+boost::asio::awaitable<base::result<value_type>> RunAttempts(
     std::function<boost::asio::awaitable<base::result<value_type>>()> attempt,
     std::function<boost::asio::awaitable<bool>(const base::error&,
                                                std::int64_t attempts_made)>
-        again) {
+        may_retry) {
   bool unknown_before = false;
   for (std::int64_t made = 1;; ++made) {
-    auto ended = co_await attempt();
-    if (ended)
-      co_return ended;
-    base::error failed = ended.error();
-    const bool more = co_await again(failed, made);
-    if (!more) {
+    auto result = co_await attempt();
+    if (result)
+      co_return result;
+    base::error failed = result.error();
+    const bool retry = co_await may_retry(failed, made);
+    if (!retry) {
       if (unknown_before)
         failed.what_ran = base::outcome::kUnknown;
       co_return tl::make_unexpected(std::move(failed));
--- a/src/gateway/request/chat_exchange.cc
+++ b/src/gateway/request/chat_exchange.cc
@@ -8,11 +8,11 @@
 
 #include "base/identifier.h"
 #include "gateway/constants.h"
-#include "gateway/request/answers.h"
+#include "gateway/request/responses.h"
 #include "gateway/request/attempt.h"
 #include "gateway/request/attempt_loop.h"
 #include "gateway/request/chat_request.h"
-#include "gateway/request/request_notes.h"
+#include "gateway/request/request_reporting.h"
 
 namespace valeledge::gateway {
 
@@ -27,25 +27,27 @@
 // One request for a completion, from its first attempt to its last.
 class chat_exchange {
  public:
-  chat_exchange(caller_front& front,
+  chat_exchange(caller_frontend& frontend,
                 chat_request request,
                 net::http_responder& responder)
-      : front_(front), request_(std::move(request)), responder_(responder) {}
+      : frontend_(frontend),
+        request_(std::move(request)),
+        responder_(responder) {}
 
   asio::awaitable<void> Run();
 
  private:
-  grant_wish Wish() const;
+  scheduling_request MakeSchedulingRequest() const;
   asio::awaitable<base::result<void>> Attempt();
-  asio::awaitable<bool> TakeChunk(const decisions::answer_chunk& chunk);
+  asio::awaitable<bool> HandleChunk(const decisions::answer_chunk& chunk);
   asio::awaitable<void> Complete();
   asio::awaitable<void> Fail(base::error failed);
-  void NoteChunk();
+  void RecordChunkTiming();
 
-  caller_front& front_;
+  caller_frontend& frontend_;
   chat_request request_;
   net::http_responder& responder_;
-  answer_so_far answer_;
+  partial_response response_;
   std::vector<std::string> avoid_;
   // Whether the last attempt got as far as a backend server.
   bool granted_ = false;
@@ -56,39 +58,40 @@
   std::chrono::steady_clock::time_point last_chunk_;
 };
 
-grant_wish chat_exchange::Wish() const {
-  grant_wish wish;
-  wish.request_id = request_.frame.id;
-  wish.attempt_id = base::NewIdentifier();
-  wish.digest = request_.frame.digest;
-  wish.partner = request_.frame.partner;
-  wish.unit = request_.frame.unit;
-  wish.limited = request_.frame.model;
-  wish.prefix_hash = request_.prefix_hash;
-  wish.tokens = request_.max_tokens;
-  wish.priority = request_.frame.priority;
-  wish.patience = std::min(Remaining(request_.frame), request_.frame.patience);
-  wish.avoid = avoid_;
-  return wish;
+scheduling_request chat_exchange::MakeSchedulingRequest() const {
+  scheduling_request request;
+  request.request_id = request_.common.id;
+  request.attempt_id = base::NewIdentifier();
+  request.digest = request_.common.digest;
+  request.partner = request_.common.partner;
+  request.unit = request_.common.unit;
+  request.limited = request_.common.model;
+  request.prefix_hash = request_.prefix_hash;
+  request.tokens = request_.max_tokens;
+  request.priority = request_.common.priority;
+  request.grant_timeout =
+      std::min(Remaining(request_.common), request_.common.grant_timeout);
+  request.avoid = avoid_;
+  return request;
 }
 
-void chat_exchange::NoteChunk() {
+void chat_exchange::RecordChunkTiming() {
   const auto now = std::chrono::steady_clock::now();
-  if (answer_.tokens > 1 && last_chunk_.time_since_epoch().count() != 0) {
-    front_.metrics()
+  if (response_.tokens > 1 && last_chunk_.time_since_epoch().count() != 0) {
+    frontend_.metrics()
         .Distribution("valeledge_between_tokens_seconds")
         .Record(now - last_chunk_);
   } else {
-    front_.metrics()
+    frontend_.metrics()
         .Distribution("valeledge_first_token_seconds")
-        .Record(now - request_.frame.started);
+        .Record(now - request_.common.started);
   }
   last_chunk_ = now;
 }
 
-asio::awaitable<bool> chat_exchange::TakeChunk(
+asio::awaitable<bool> chat_exchange::HandleChunk(
     const decisions::answer_chunk& chunk) {
-  NoteChunk();
+  RecordChunkTiming();
   if (!request_.stream)
     co_return !responder_.caller_gone();
   if (!streaming_) {
@@ -97,108 +100,112 @@
     header.result(http::status::ok);
     header.set(http::field::content_type, "text/event-stream");
     header.set(http::field::cache_control, "no-cache");
-    header.set(kRequestField, request_.frame.id);
+    header.set(kRequestField, request_.common.id);
     const bool started = co_await responder_.Start(std::move(header));
     if (!started)
       co_return false;
   }
-  const std::string data = RenderChunk(request_.frame.id, request_.frame.model,
-                                       chunk.text, chunk.finish_reason);
-  co_return co_await responder_.Write(Event(data));
+  const std::string data =
+      RenderChunk(request_.common.id, request_.common.model, chunk.text,
+                  chunk.finish_reason);
+  co_return co_await responder_.Write(FormatEvent(data));
 }
 
 asio::awaitable<base::result<void>> chat_exchange::Attempt() {
-  gateway_shared& shared = front_.shared();
-  const auto asked = std::chrono::steady_clock::now();
-  auto ask = [&shared,
-              wish = Wish()]() -> asio::awaitable<base::result<grant>> {
-    co_return co_await shared.grants.Ask(wish);
+  gateway_shared& shared = frontend_.shared();
+  const auto requested_at = std::chrono::steady_clock::now();
+  auto request_grant = [&shared, request = MakeSchedulingRequest()]()
+      -> asio::awaitable<base::result<grant>> {
+    co_return co_await shared.grants.RequestGrant(request);
   };
-  const auto given = co_await front_.OnPeers<grant>(std::move(ask));
-  granted_ = given.has_value();
-  if (!given)
-    co_return tl::make_unexpected(given.error());
+  const auto issued =
+      co_await frontend_.RunOnPeerThread<grant>(std::move(request_grant));
+  granted_ = issued.has_value();
+  if (!issued)
+    co_return tl::make_unexpected(issued.error());
   const auto granted_at = std::chrono::steady_clock::now();
-  front_.metrics()
+  frontend_.metrics()
       .Distribution("valeledge_grant_seconds")
-      .Record(granted_at - asked);
-  server_ = given->server;
-  attempt_end end;
+      .Record(granted_at - requested_at);
+  server_ = issued->server;
+  attempt_outcome end;
   if (responder_.caller_gone()) {
-    end.told.what_ran = base::outcome::kNotRun;
-    end.ended = base::NotRun(result_code::kCallerGone, "the caller is gone");
+    end.report.what_ran = base::outcome::kNotRun;
+    end.result = base::NotRun(result_code::kCallerGone, "the caller is gone");
   } else {
     const chunk_sink sink = [this](const decisions::answer_chunk& chunk) {
-      return TakeChunk(chunk);
+      return HandleChunk(chunk);
     };
     end = co_await RunChatAttempt(
-        request_, {front_.settings(), front_.http(), *given, open_}, answer_,
-        sink);
+        request_, {frontend_.settings(), frontend_.http(), *issued, open_},
+        response_, sink);
   }
-  end.told.took = std::chrono::duration_cast<std::chrono::microseconds>(
+  end.report.took = std::chrono::duration_cast<std::chrono::microseconds>(
       std::chrono::steady_clock::now() - granted_at);
-  shared.node.peers().Submit([&shared, given = *given, told = end.told] {
-    shared.grants.End(given, told);
+  shared.node.peers().Submit([&shared, issued = *issued, report = end.report] {
+    shared.grants.EndAttempt(issued, report);
   });
-  if (!end.ended) {
-    avoid_.push_back(given->server);
-    NoteAttemptFailed(front_, kCategory, request_.frame, *given,
-                      end.ended.error());
+  if (!end.result) {
+    avoid_.push_back(issued->server);
+    ReportAttemptFailed(frontend_, kCategory, request_.common, *issued,
+                        end.result.error());
   }
-  co_return end.ended;
+  co_return end.result;
 }
 
 asio::awaitable<void> chat_exchange::Complete() {
   if (request_.stream) {
-    co_await responder_.Write(Event("[DONE]"));
+    co_await responder_.Write(FormatEvent("[DONE]"));
     co_await responder_.Finish();
   } else {
-    auto answer = net::MakeJsonResponse(
-        200,
-        RenderCompletion(request_.frame.id, request_.frame.model, answer_.text,
-                         answer_.finish_reason, answer_.tokens));
-    answer.set(kRequestField, request_.frame.id);
-    answer.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
-    co_await responder_.Send(std::move(answer));
+    auto response = net::MakeJsonResponse(
+        200, RenderCompletion(request_.common.id, request_.common.model,
+                              response_.text, response_.finish_reason,
+                              response_.tokens));
+    response.set(kRequestField, request_.common.id);
+    response.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
+    co_await responder_.Send(std::move(response));
   }
-  NoteAnswered(front_, request_.frame, "completed", server_);
+  ReportCompleted(frontend_, request_.common, "completed", server_);
 }
 
 asio::awaitable<void> chat_exchange::Fail(base::error failed) {
   // Earlier attempts may have run even if the last one did not.
-  if (answer_.tokens > 0)
+  if (response_.tokens > 0)
     failed.what_ran = base::outcome::kUnknown;
-  const bool timed_out = Remaining(request_.frame).count() <= 0 &&
+  const bool timed_out = Remaining(request_.common).count() <= 0 &&
                          failed.what_ran == base::outcome::kUnknown;
   if (timed_out)
     failed.code = result_code::kDeadlinePassed;
   if (failed.what_ran == base::outcome::kNotRun && !failed.retry_after)
-    failed.retry_after = kUsualComeBack;
-  NoteRefused(front_, kCategory, request_.frame, failed);
+    failed.retry_after = kDefaultRetryAfter;
+  ReportRefused(frontend_, kCategory, request_.common, failed);
   if (!streaming_) {
-    co_await responder_.Send(ErrorResponse(failed, request_.frame.id));
+    co_await responder_.Send(ErrorResponse(failed, request_.common.id));
     co_return;
   }
   // The stream has begun: the error is its last event, and the connection
   // closes without the transport's end, so that nothing looks whole.
-  co_await responder_.Write(Event(RenderError(failed, request_.frame.id)));
+  co_await responder_.Write(
+      FormatEvent(RenderError(failed, request_.common.id)));
   responder_.Break();
 }
 
 asio::awaitable<void> chat_exchange::Run() {
-  front_.shared().budgets.Earn(request_.frame.partner, request_.frame.unit);
+  frontend_.shared().budgets.RecordRequest(request_.common.partner,
+                                           request_.common.unit);
   responder_.OnCallerGone([this] {
     if (open_ != nullptr)
       open_->Abandon();
   });
-  const auto last = co_await RepeatAttempts<void>(
+  const auto last = co_await RunAttempts<void>(
       [this] { return Attempt(); },
       [this](const base::error& failed,
              std::int64_t made) -> asio::awaitable<bool> {
         if (!granted_ || responder_.caller_gone())
           co_return false;
-        co_return co_await MayTryAgain(front_, request_.frame, failed, true,
-                                       made);
+        co_return co_await MayRetry(frontend_, request_.common, failed, true,
+                                    made);
       });
   if (last)
     co_await Complete();
@@ -208,17 +215,17 @@
 
 }  // namespace
 
-asio::awaitable<void> ServeChat(caller_front& front,
+asio::awaitable<void> ServeChat(caller_frontend& frontend,
                                 net::http_request& request,
                                 net::http_responder& responder) {
-  const auto table = front.shared().node.table().Get();
-  auto parsed = ParseChatRequest(request, front.settings(), *table);
+  const auto table = frontend.shared().node.table().Get();
+  auto parsed = ParseChatRequest(request, frontend.settings(), *table);
   if (!parsed) {
-    front.metrics().CountRefusal(parsed.error().code);
+    frontend.metrics().CountRefusal(parsed.error().code);
     co_await responder.Send(ErrorResponse(parsed.error(), {}));
     co_return;
   }
-  chat_exchange exchange(front, std::move(*parsed), responder);
+  chat_exchange exchange(frontend, std::move(*parsed), responder);
   co_await exchange.Run();
 }
 
--- a/src/gateway/request/chat_request.cc
+++ b/src/gateway/request/chat_request.cc
@@ -16,17 +16,17 @@
 namespace json = boost::json;
 using base::result_code;
 
-constexpr std::int64_t kMostTokens = 1'000'000;
+constexpr std::int64_t kMaxTokens = 1'000'000;
 
 std::string UnknownModel(const table::snapshot& table,
                          const std::string& name) {
   std::string message = "there is no model or adapter \"" + name + "\"";
-  auto near = table::NearNames(table, table::row_kind::kModel, name);
+  auto similar = table::NearNames(table, table::row_kind::kModel, name);
   const auto adapters =
       table::NearNames(table, table::row_kind::kAdapter, name);
-  near.insert(near.end(), adapters.begin(), adapters.end());
-  for (std::size_t i = 0; i < near.size(); ++i)
-    message.append(i == 0 ? "; near names: " : ", ").append(near[i]);
+  similar.insert(similar.end(), adapters.begin(), adapters.end());
+  for (std::size_t i = 0; i < similar.size(); ++i)
+    message.append(i == 0 ? "; near names: " : ", ").append(similar[i]);
   return message;
 }
 
@@ -47,40 +47,40 @@
 
 }  // namespace
 
-std::chrono::microseconds Remaining(const request_frame& frame) {
+std::chrono::microseconds Remaining(const request_common& common) {
   return std::chrono::duration_cast<std::chrono::microseconds>(
-      frame.deadline - std::chrono::steady_clock::now());
+      common.deadline - std::chrono::steady_clock::now());
 }
 
-base::result<request_frame> ReadFrame(const net::http_request& request,
-                                      const gateway_settings& settings,
-                                      const table::row& row) {
-  request_frame frame;
-  frame.id = base::NewIdentifier();
-  frame.partner = row.partner;
-  frame.model = row.name;
-  frame.unit = table::KeyOf(row);
+base::result<request_common> ReadCommon(const net::http_request& request,
+                                        const gateway_settings& settings,
+                                        const table::row& row) {
+  request_common common;
+  common.id = base::NewIdentifier();
+  common.partner = row.partner;
+  common.model = row.name;
+  common.unit = table::KeyOf(row);
   const auto target = request.target();
-  frame.digest = base::StableHash({target.data(), target.size()},
-                                  base::StableHash(row.partner));
-  frame.digest = base::StableHash(request.body(), frame.digest);
-  frame.priority = static_cast<std::int32_t>(row.priority);
-  frame.started = std::chrono::steady_clock::now();
+  common.digest = base::StableHash({target.data(), target.size()},
+                                   base::StableHash(row.partner));
+  common.digest = base::StableHash(request.body(), common.digest);
+  common.priority = static_cast<std::int32_t>(row.priority);
+  common.started = std::chrono::steady_clock::now();
   auto time = settings.deadline;
   const auto deadline = request.find(kDeadlineField);
   if (deadline != request.end()) {
-    const auto asked = base::ParseDuration(
+    const auto requested = base::ParseDuration(
         std::string_view(deadline->value().data(), deadline->value().size()));
-    if (!asked || asked->count() == 0) {
+    if (!requested || requested->count() == 0) {
       return base::NotRun(result_code::kBadRequest,
                           "Valeledge-Deadline is not a duration such as 30s");
     }
-    time = std::min(*asked, settings.longest_deadline);
+    time = std::min(*requested, settings.longest_deadline);
   }
-  frame.deadline = frame.started + time;
-  frame.patience = row.kind == table::row_kind::kModel
-                       ? std::chrono::microseconds(row.first_token)
-                       : kServicePatience;
+  common.deadline = common.started + time;
+  common.grant_timeout = row.kind == table::row_kind::kModel
+                             ? std::chrono::microseconds(row.first_token)
+                             : kServiceGrantTimeout;
   const auto priority = request.find(kPriorityField);
   if (priority != request.end()) {
     const auto text = priority->value();
@@ -89,9 +89,9 @@
                           "Valeledge-Priority is not a digit from 0 to 9");
     }
     // A caller may lower its own priority, never raise it above the row's.
-    frame.priority = std::max(frame.priority, text[0] - '0');
+    common.priority = std::max(common.priority, text[0] - '0');
   }
-  return frame;
+  return common;
 }
 
 base::result<chat_request> ParseChatRequest(const net::http_request& request,
@@ -112,17 +112,17 @@
       table::row_kind::kModel, adapter == nullptr ? name : adapter->base);
   if (model == nullptr)
     return base::NotRun(result_code::kUnknownModel, UnknownModel(table, name));
-  auto frame = ReadFrame(request, settings, *model);
-  if (!frame)
-    return tl::make_unexpected(frame.error());
+  auto common = ReadCommon(request, settings, *model);
+  if (!common)
+    return tl::make_unexpected(common.error());
   if (adapter != nullptr)
-    frame->unit = table::KeyOf(*adapter);
+    common->unit = table::KeyOf(*adapter);
   chat_request out;
-  out.frame = std::move(*frame);
+  out.common = std::move(*common);
   out.stream = base::BoolField(*body, "stream");
   const std::int64_t tokens =
-      base::IntegerField(*body, "max_tokens", kUsualTokens);
-  if (tokens < 1 || tokens > kMostTokens) {
+      base::IntegerField(*body, "max_tokens", kDefaultMaxTokens);
+  if (tokens < 1 || tokens > kMaxTokens) {
     return base::NotRun(result_code::kBadRequest,
                         "\"max_tokens\" is not between 1 and 1000000");
   }
--- a/src/gateway/request/chat_request.h
+++ b/src/gateway/request/chat_request.h
@@ -17,7 +17,7 @@
 namespace valeledge::gateway {
 
 // What both kinds of requests share.
-struct request_frame {
+struct request_common {
   std::string id;
   std::string partner;
   // What is to be served: "model/NAME", "adapter/NAME", "service/NAME".
@@ -30,20 +30,20 @@
   std::chrono::steady_clock::time_point started;
   std::chrono::steady_clock::time_point deadline;
   // How long a grant may take and still be of use.
-  std::chrono::microseconds patience{0};
+  std::chrono::microseconds grant_timeout{0};
 };
 
 // Time left until the deadline.
-std::chrono::microseconds Remaining(const request_frame& frame);
+std::chrono::microseconds Remaining(const request_common& common);
 
 // Reads the header fields that both kinds share.
-base::result<request_frame> ReadFrame(const net::http_request& request,
-                                      const gateway_settings& settings,
-                                      const table::row& row);
+base::result<request_common> ReadCommon(const net::http_request& request,
+                                        const gateway_settings& settings,
+                                        const table::row& row);
 
 // A request for a completion.
 struct chat_request {
-  request_frame frame;
+  request_common common;
   bool stream = false;
   std::int32_t max_tokens = 0;
   std::int64_t prefix_hash = 0;
--- a/src/gateway/request/answers.cc
+++ b/src/gateway/request/responses.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "gateway/request/answers.h"
+#include "gateway/request/responses.h"
 
 #include <boost/beast/http.hpp>
 
@@ -43,20 +43,20 @@
 
 net::http_response ErrorResponse(const base::error& failed,
                                  std::string_view request_id) {
-  auto answer = net::MakeJsonResponse(base::Describe(failed.code).http_status,
-                                      RenderError(failed, request_id));
-  answer.set(kOutcomeField, base::ToString(failed.what_ran));
-  answer.set(kReasonField, std::to_string(static_cast<int>(failed.code)));
-  answer.set(kRequestField, request_id);
+  auto response = net::MakeJsonResponse(base::Describe(failed.code).http_status,
+                                        RenderError(failed, request_id));
+  response.set(kOutcomeField, base::ToString(failed.what_ran));
+  response.set(kReasonField, std::to_string(static_cast<int>(failed.code)));
+  response.set(kRequestField, request_id);
   if (failed.retry_after) {
     const auto seconds = base::RoundUpToSeconds(*failed.retry_after);
-    answer.set(boost::beast::http::field::retry_after,
-               std::to_string(seconds.count()));
+    response.set(boost::beast::http::field::retry_after,
+                 std::to_string(seconds.count()));
   }
-  return answer;
+  return response;
 }
 
-std::string Event(std::string_view data) {
+std::string FormatEvent(std::string_view data) {
   std::string out = "data: ";
   out.append(data).append("\n\n");
   return out;
--- a/src/gateway/request/answers.h
+++ b/src/gateway/request/responses.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // What callers get: errors with code, outcome and when to come back, and the
 // chunks of a streamed completion.
-#ifndef VALELEDGE_GATEWAY_REQUEST_ANSWERS_H_
-#define VALELEDGE_GATEWAY_REQUEST_ANSWERS_H_
+#ifndef VALELEDGE_GATEWAY_REQUEST_RESPONSES_H_
+#define VALELEDGE_GATEWAY_REQUEST_RESPONSES_H_
 
 #include <string>
 #include <string_view>
@@ -21,7 +21,7 @@
                                  std::string_view request_id);
 
 // One server-sent event that holds `data`.
-std::string Event(std::string_view data);
+std::string FormatEvent(std::string_view data);
 
 // The JSON of one chunk of a streamed completion.
 std::string RenderChunk(std::string_view request_id,
@@ -38,4 +38,4 @@
 
 }  // namespace valeledge::gateway
 
-#endif  // VALELEDGE_GATEWAY_REQUEST_ANSWERS_H_
+#endif  // VALELEDGE_GATEWAY_REQUEST_RESPONSES_H_
--- a/src/gateway/request/service_exchange.cc
+++ b/src/gateway/request/service_exchange.cc
@@ -9,11 +9,11 @@
 #include "base/identifier.h"
 #include "base/json.h"
 #include "gateway/constants.h"
-#include "gateway/request/answers.h"
+#include "gateway/request/responses.h"
 #include "gateway/request/attempt.h"
 #include "gateway/request/attempt_loop.h"
 #include "gateway/request/chat_request.h"
-#include "gateway/request/request_notes.h"
+#include "gateway/request/request_reporting.h"
 
 namespace valeledge::gateway {
 
@@ -27,7 +27,7 @@
 
 // A call of a plain service, checked.
 struct service_request {
-  request_frame frame;
+  request_common common;
   bool idempotent = true;
   // A refusal of the service says that the call did not run.
   bool refusal_not_run = false;
@@ -58,20 +58,21 @@
   const table::row* row = table.Find(table::row_kind::kService, name);
   if (row == nullptr) {
     std::string message = "there is no service \"" + name + "\"";
-    const auto near = table::NearNames(table, table::row_kind::kService, name);
-    for (std::size_t i = 0; i < near.size(); ++i)
-      message.append(i == 0 ? "; near names: " : ", ").append(near[i]);
+    const auto similar =
+        table::NearNames(table, table::row_kind::kService, name);
+    for (std::size_t i = 0; i < similar.size(); ++i)
+      message.append(i == 0 ? "; near names: " : ", ").append(similar[i]);
     return base::NotRun(result_code::kUnknownService, std::move(message));
   }
-  auto frame = ReadFrame(request, settings, *row);
-  if (!frame)
-    return tl::make_unexpected(frame.error());
+  auto common = ReadCommon(request, settings, *row);
+  if (!common)
+    return tl::make_unexpected(common.error());
   service_request call;
-  call.frame = std::move(*frame);
+  call.common = std::move(*common);
   call.method = request.method();
-  const bool reads =
+  const bool is_read =
       call.method == http::verb::get || call.method == http::verb::head;
-  call.idempotent = row->idempotent || reads;
+  call.idempotent = row->idempotent || is_read;
   call.refusal_not_run = row->refusal_not_run;
   call.target = std::string(target.substr(end));
   if (!call.target.starts_with('/'))
@@ -79,7 +80,8 @@
   call.body = request.body();
   call.content_type = std::string(request[http::field::content_type]);
   call.key = std::string(request[kKeyField]);
-  if (!call.idempotent && (call.key.empty() || call.key.size() > kLongestKey)) {
+  if (!call.idempotent &&
+      (call.key.empty() || call.key.size() > kMaxKeyLength)) {
     return base::NotRun(result_code::kKeyRequired,
                         "calls of \"" + name +
                             "\" may not be repeated and "
@@ -92,22 +94,22 @@
 // One call from its first attempt to its last.
 class service_exchange {
  public:
-  service_exchange(caller_front& front,
+  service_exchange(caller_frontend& frontend,
                    service_request call,
                    net::http_responder& responder)
-      : front_(front), call_(std::move(call)), responder_(responder) {}
+      : frontend_(frontend), call_(std::move(call)), responder_(responder) {}
 
   asio::awaitable<void> Run();
 
  private:
-  grant_wish Wish() const;
+  scheduling_request MakeSchedulingRequest() const;
   asio::awaitable<base::result<net::http_response>> Attempt();
-  asio::awaitable<base::result<net::http_response>> Send(const grant& given);
+  asio::awaitable<base::result<net::http_response>> Send(const grant& issued);
   asio::awaitable<void> UpdateClaim(wire::claim_update update);
-  asio::awaitable<void> Replay(const grant& given);
+  asio::awaitable<void> Replay(const grant& issued);
   asio::awaitable<void> Fail(base::error failed);
 
-  caller_front& front_;
+  caller_frontend& frontend_;
   service_request call_;
   net::http_responder& responder_;
   std::vector<std::string> avoid_;
@@ -117,47 +119,48 @@
   bool replayed_ = false;
 };
 
-grant_wish service_exchange::Wish() const {
-  grant_wish wish;
-  wish.request_id = call_.frame.id;
-  wish.attempt_id = base::NewIdentifier();
-  wish.digest = call_.frame.digest;
-  wish.partner = call_.frame.partner;
-  wish.unit = call_.frame.unit;
-  wish.limited = call_.frame.model;
-  wish.priority = call_.frame.priority;
-  wish.patience = std::min(Remaining(call_.frame), call_.frame.patience);
-  wish.avoid = avoid_;
+scheduling_request service_exchange::MakeSchedulingRequest() const {
+  scheduling_request request;
+  request.request_id = call_.common.id;
+  request.attempt_id = base::NewIdentifier();
+  request.digest = call_.common.digest;
+  request.partner = call_.common.partner;
+  request.unit = call_.common.unit;
+  request.limited = call_.common.model;
+  request.priority = call_.common.priority;
+  request.grant_timeout =
+      std::min(Remaining(call_.common), call_.common.grant_timeout);
+  request.avoid = avoid_;
   if (!call_.idempotent) {
-    wish.idempotency_key = call_.key;
-    wish.request_digest = call_.digest;
+    request.idempotency_key = call_.key;
+    request.request_digest = call_.digest;
   }
-  return wish;
+  return request;
 }
 
 asio::awaitable<base::result<net::http_response>> service_exchange::Send(
-    const grant& given) {
+    const grant& issued) {
   auto request = net::MakeRequest(call_.method, call_.target, call_.body);
   if (!call_.content_type.empty())
     request.set(http::field::content_type, call_.content_type);
-  request.set(kAttemptField, given.attempt_id);
+  request.set(kAttemptField, issued.attempt_id);
   if (!call_.key.empty())
     request.set(kKeyField, call_.key);
   // A pooled connection may have been closed by the other side, which would
   // leave the outcome of a call that may not be repeated unknown.
   const auto use = call_.idempotent ? net::connection_use::kPooled
                                     : net::connection_use::kFresh;
-  const auto patience = Remaining(call_.frame);
-  auto opened = co_await front_.http().Open(
-      given.address, std::move(request),
-      std::min(patience, front_.settings().connect_timeout), patience, use);
+  const auto timeout = Remaining(call_.common);
+  auto opened = co_await frontend_.http().Open(
+      issued.address, std::move(request),
+      std::min(timeout, frontend_.settings().connect_timeout), timeout, use);
   if (!opened)
     co_return tl::make_unexpected(opened.error());
-  net::http_response answer((*opened)->header());
-  if (IsRefusal(answer.result_int())) {
+  net::http_response response((*opened)->header());
+  if (IsRefusal(response.result_int())) {
     (*opened)->Abandon();
     const std::string message =
-        "the backend server answered " + std::to_string(answer.result_int());
+        "the backend server answered " + std::to_string(response.result_int());
     // Sending it again is safe for the one, certain not to repeat for the
     // other; without either it may have run.
     if (call_.idempotent || call_.refusal_not_run)
@@ -165,88 +168,92 @@
     co_return base::Unknown(result_code::kOutcomeUnknown, message);
   }
   while (true) {
-    const auto piece = co_await (*opened)->ReadSome(Remaining(call_.frame));
+    const auto piece = co_await (*opened)->ReadSome(Remaining(call_.common));
     if (!piece)
       co_return tl::make_unexpected(piece.error());
     if (piece->empty())
       break;
-    answer.body().append(*piece);
-    if (answer.body().size() > net::kMaxAnswerBytes) {
+    response.body().append(*piece);
+    if (response.body().size() > net::kMaxAnswerBytes) {
       co_return base::Unknown(result_code::kAnswerBroken,
                               "the answer is too large");
     }
   }
-  co_return answer;
+  co_return response;
 }
 
 asio::awaitable<void> service_exchange::UpdateClaim(wire::claim_update update) {
-  update.service_name = call_.frame.model;
-  update.partner = call_.frame.partner;
+  update.service_name = call_.common.model;
+  update.partner = call_.common.partner;
   update.idempotency_key = call_.key;
-  update.claim_id = call_.frame.id;
+  update.claim_id = call_.common.id;
   update.claim_revision = claimed_->claim_revision;
   update.digest = call_.digest;
-  gateway_shared& shared = front_.shared();
+  gateway_shared& shared = frontend_.shared();
   auto tell =
       [&shared, update = std::move(update),
        scheduler =
            claimed_->scheduler]() -> asio::awaitable<base::result<bool>> {
-    const auto told = co_await shared.grants.UpdateClaim(update, scheduler);
-    co_return told.has_value();
+    const auto report = co_await shared.grants.UpdateClaim(update, scheduler);
+    co_return report.has_value();
   };
-  const auto told = co_await front_.OnPeers<bool>(std::move(tell));
-  if (!told || !*told)
-    front_.metrics().Counter("valeledge_claims_not_updated_total").Add();
+  const auto report = co_await frontend_.RunOnPeerThread<bool>(std::move(tell));
+  if (!report || !*report)
+    frontend_.metrics().Counter("valeledge_claims_not_updated_total").Add();
 }
 
-asio::awaitable<void> service_exchange::Replay(const grant& given) {
+asio::awaitable<void> service_exchange::Replay(const grant& issued) {
   replayed_ = true;
-  auto answer =
-      net::MakeJsonResponse(given.recorded_status, *given.recorded_answer);
-  answer.set(http::field::content_type, given.recorded_type);
-  answer.set(kReplayedField, "true");
-  answer.set(kRequestField, call_.frame.id);
-  answer.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
-  NoteAnswered(front_, call_.frame, "replayed", {});
-  co_await responder_.Send(std::move(answer));
+  auto response =
+      net::MakeJsonResponse(issued.recorded_status, *issued.recorded_answer);
+  response.set(http::field::content_type, issued.recorded_type);
+  response.set(kReplayedField, "true");
+  response.set(kRequestField, call_.common.id);
+  response.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
+  ReportCompleted(frontend_, call_.common, "replayed", {});
+  co_await responder_.Send(std::move(response));
 }
 
 asio::awaitable<base::result<net::http_response>> service_exchange::Attempt() {
-  gateway_shared& shared = front_.shared();
-  auto ask = [&shared,
-              wish = Wish()]() -> asio::awaitable<base::result<grant>> {
-    co_return co_await shared.grants.Ask(wish);
+  gateway_shared& shared = frontend_.shared();
+  auto request_grant = [&shared, request = MakeSchedulingRequest()]()
+      -> asio::awaitable<base::result<grant>> {
+    co_return co_await shared.grants.RequestGrant(request);
   };
-  const auto given = co_await front_.OnPeers<grant>(std::move(ask));
-  if (!given)
-    co_return tl::make_unexpected(given.error());
-  granted_ = *given;
-  if (given->claim_revision != 0)
-    claimed_ = *given;
-  if (given->recorded_answer) {
-    co_await Replay(*given);
+  const auto issued =
+      co_await frontend_.RunOnPeerThread<grant>(std::move(request_grant));
+  if (!issued)
+    co_return tl::make_unexpected(issued.error());
+  granted_ = *issued;
+  if (issued->claim_revision != 0)
+    claimed_ = *issued;
+  if (issued->recorded_answer) {
+    co_await Replay(*issued);
     co_return net::http_response();
   }
   const auto granted_at = std::chrono::steady_clock::now();
-  auto answer = co_await Send(*given);
-  attempt_result told;
-  told.took = std::chrono::duration_cast<std::chrono::microseconds>(
+  auto response = co_await Send(*issued);
+  attempt_result report;
+  report.took = std::chrono::duration_cast<std::chrono::microseconds>(
       std::chrono::steady_clock::now() - granted_at);
-  told.tokens = 1;
-  if (answer) {
-    told.what_ran = base::outcome::kCompleted;
-    told.answered_well = answer->result_int() < 500;
+  report.tokens = 1;
+  if (response) {
+    report.what_ran = base::outcome::kCompleted;
+    report.succeeded = response->result_int() < 500;
   } else {
-    told.what_ran = answer.error().what_ran;
-    told.unreachable = answer.error().code == result_code::kBackendUnreachable;
-    told.server_ended =
-        decisions::IsSuspect({answer.error().connection_lost, {}});
-    avoid_.push_back(given->server);
-    NoteAttemptFailed(front_, kCategory, call_.frame, *given, answer.error());
+    report.what_ran = response.error().what_ran;
+    report.unreachable =
+        response.error().code == result_code::kBackendUnreachable;
+    report.server_crashed =
+        decisions::IsSuspect({response.error().connection_lost, {}});
+    avoid_.push_back(issued->server);
+    ReportAttemptFailed(frontend_, kCategory, call_.common, *issued,
+                        response.error());
   }
-  shared.node.peers().Submit(
-      [&shared, given = *given, told] { shared.grants.End(given, told); });
-  co_return answer;
+  shared.node.peers().Submit([&shared, issued = *issued, report] {
+    shared.grants.EndAttempt(issued, report);
+  });
+  co_return response;
 }
 
 asio::awaitable<void> service_exchange::Fail(base::error failed) {
@@ -257,14 +264,15 @@
     co_await UpdateClaim(std::move(update));
   }
   if (not_run && !failed.retry_after)
-    failed.retry_after = kUsualComeBack;
-  NoteRefused(front_, kCategory, call_.frame, failed);
-  co_await responder_.Send(ErrorResponse(failed, call_.frame.id));
+    failed.retry_after = kDefaultRetryAfter;
+  ReportRefused(frontend_, kCategory, call_.common, failed);
+  co_await responder_.Send(ErrorResponse(failed, call_.common.id));
 }
 
 asio::awaitable<void> service_exchange::Run() {
-  front_.shared().budgets.Earn(call_.frame.partner, call_.frame.unit);
-  auto last = co_await RepeatAttempts<net::http_response>(
+  frontend_.shared().budgets.RecordRequest(call_.common.partner,
+                                           call_.common.unit);
+  auto last = co_await RunAttempts<net::http_response>(
       [this] {
         granted_.reset();
         return Attempt();
@@ -273,8 +281,8 @@
              std::int64_t made) -> asio::awaitable<bool> {
         if (!granted_)
           co_return false;
-        co_return co_await MayTryAgain(front_, call_.frame, failed,
-                                       call_.idempotent, made);
+        co_return co_await MayRetry(frontend_, call_.common, failed,
+                                    call_.idempotent, made);
       });
   if (replayed_)
     co_return;
@@ -289,29 +297,29 @@
     update.content_type = std::string((*last)[http::field::content_type]);
     co_await UpdateClaim(std::move(update));
   }
-  net::http_response answer =
+  net::http_response response =
       net::MakeJsonResponse(static_cast<int>(last->result_int()), last->body());
-  answer.set(http::field::content_type, (*last)[http::field::content_type]);
-  answer.set(kRequestField, call_.frame.id);
-  answer.set(kServerField, granted_->server);
-  answer.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
-  NoteAnswered(front_, call_.frame, "completed", granted_->server);
-  co_await responder_.Send(std::move(answer));
+  response.set(http::field::content_type, (*last)[http::field::content_type]);
+  response.set(kRequestField, call_.common.id);
+  response.set(kServerField, granted_->server);
+  response.set(kOutcomeField, base::ToString(base::outcome::kCompleted));
+  ReportCompleted(frontend_, call_.common, "completed", granted_->server);
+  co_await responder_.Send(std::move(response));
 }
 
 }  // namespace
 
-asio::awaitable<void> ServeService(caller_front& front,
+asio::awaitable<void> ServeService(caller_frontend& frontend,
                                    net::http_request& request,
                                    net::http_responder& responder) {
-  const auto table = front.shared().node.table().Get();
-  auto parsed = Parse(request, front.settings(), *table);
+  const auto table = frontend.shared().node.table().Get();
+  auto parsed = Parse(request, frontend.settings(), *table);
   if (!parsed) {
-    front.metrics().CountRefusal(parsed.error().code);
+    frontend.metrics().CountRefusal(parsed.error().code);
     co_await responder.Send(ErrorResponse(parsed.error(), {}));
     co_return;
   }
-  service_exchange exchange(front, std::move(*parsed), responder);
+  service_exchange exchange(frontend, std::move(*parsed), responder);
   co_await exchange.Run();
 }
 
--- a/src/gateway/request/service_exchange.h
+++ b/src/gateway/request/service_exchange.h
@@ -6,12 +6,12 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 #include "net/http_server.h"
 
 namespace valeledge::gateway {
 
-boost::asio::awaitable<void> ServeService(caller_front& front,
+boost::asio::awaitable<void> ServeService(caller_frontend& frontend,
                                           net::http_request& request,
                                           net::http_responder& responder);
 
--- a/tests/auto/gateway/test_requests.cc
+++ b/tests/auto/gateway/test_requests.cc
@@ -4,7 +4,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/request/answers.h"
+#include "gateway/request/responses.h"
 #include "gateway/request/chat_request.h"
 #include "gateway/request/event_reader.h"
 
@@ -45,7 +45,7 @@
 constexpr const char* kGood =
     R"({"model":"season-draft","messages":[{"role":"user","content":"x"}]})";
 
-std::vector<std::string> Events(const std::vector<std::string>& pieces) {
+std::vector<std::string> ReadEvents(const std::vector<std::string>& pieces) {
   event_reader reader;
   std::vector<std::string> out;
   for (const std::string& piece : pieces) {
@@ -58,18 +58,18 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_good_request_is_read) {
+BOOST_AUTO_TEST_CASE(a_valid_request_is_parsed) {
   const auto read = Parse(kGood);
   BOOST_REQUIRE(read.has_value());
-  BOOST_TEST(read->frame.partner == "p");
-  BOOST_TEST(read->frame.unit == "model/season-draft");
-  BOOST_TEST(read->frame.priority == 3);
+  BOOST_TEST(read->common.partner == "p");
+  BOOST_TEST(read->common.unit == "model/season-draft");
+  BOOST_TEST(read->common.priority == 3);
   const auto adapter =
       Parse(R"({"model":"tenor","messages":[{"role":"user","content":"x"}]})");
-  BOOST_TEST(adapter->frame.unit == "adapter/tenor");
+  BOOST_TEST(adapter->common.unit == "adapter/tenor");
 }
 
-BOOST_AUTO_TEST_CASE(wrong_requests_are_told_what_is_wrong) {
+BOOST_AUTO_TEST_CASE(invalid_requests_get_specific_errors) {
   const auto code = [](const std::string& body) {
     return Parse(body).error().code;
   };
@@ -91,34 +91,38 @@
   BOOST_TEST(!Parse(kGood, "Valeledge-Deadline", "soon").has_value());
   BOOST_TEST(!Parse(kGood, "Valeledge-Deadline", "0s").has_value());
   BOOST_TEST(!Parse(kGood, "Valeledge-Priority", "12").has_value());
-  BOOST_TEST(Parse(kGood, "Valeledge-Priority", "9")->frame.priority == 9);
+  BOOST_TEST(Parse(kGood, "Valeledge-Priority", "9")->common.priority == 9);
   // Nobody can go before what the row allows.
-  BOOST_TEST(Parse(kGood, "Valeledge-Priority", "0")->frame.priority == 3);
+  BOOST_TEST(Parse(kGood, "Valeledge-Priority", "0")->common.priority == 3);
 }
 
-BOOST_AUTO_TEST_CASE(events_are_the_same_however_a_stream_is_cut) {
+BOOST_AUTO_TEST_CASE(events_do_not_depend_on_how_the_stream_is_split) {
   const std::string stream =
       "data: {\"a\":1}\n\n: comment\n\nevent: x\r\ndata: two\r\n"
       "data: lines\r\n\r\ndata:[DONE]\n\n";
   const std::vector<std::string> whole = {"{\"a\":1}", "two\nlines", "[DONE]"};
-  BOOST_TEST(Events({stream}) == whole, boost::test_tools::per_element());
+  BOOST_TEST(ReadEvents({stream}) == whole, boost::test_tools::per_element());
   const bool held = rc::check("cuts", [&] {
-    const auto cut = *rc::gen::inRange<std::size_t>(0, stream.size() + 1);
-    const auto second = *rc::gen::inRange<std::size_t>(cut, stream.size() + 1);
-    RC_ASSERT(Events({stream.substr(0, cut), stream.substr(cut, second - cut),
-                      stream.substr(second)}) == whole);
+    const auto first_split =
+        *rc::gen::inRange<std::size_t>(0, stream.size() + 1);
+    const auto second_split =
+        *rc::gen::inRange<std::size_t>(first_split, stream.size() + 1);
+    RC_ASSERT(
+        ReadEvents({stream.substr(0, first_split),
+                    stream.substr(first_split, second_split - first_split),
+                    stream.substr(second_split)}) == whole);
   });
   BOOST_TEST(held);
 }
 
-BOOST_AUTO_TEST_CASE(an_endless_event_is_noticed) {
+BOOST_AUTO_TEST_CASE(an_overlong_event_is_detected) {
   event_reader reader;
   reader.Append("data: " + std::string(kMaxEventBytes + 1, 'x'));
   BOOST_TEST(!reader.Next().has_value());
   BOOST_TEST(reader.IsOverlong());
 }
 
-BOOST_AUTO_TEST_CASE(any_event_is_a_chunk_or_refused) {
+BOOST_AUTO_TEST_CASE(events_are_parsed_as_chunks_or_rejected) {
   const auto chunk =
       ParseChunk(R"({"id":"a","offset":3,"choices":[{"delta":{"content":"x"},)"
                  R"("finish_reason":"stop"}]})");
@@ -131,14 +135,14 @@
   BOOST_TEST(held);
 }
 
-BOOST_AUTO_TEST_CASE(errors_say_code_outcome_and_when_to_come_back) {
+BOOST_AUTO_TEST_CASE(error_responses_contain_code_outcome_and_retry_after) {
   const base::error failed{result_code::kOverloaded, base::outcome::kNotRun,
                            "full", std::chrono::milliseconds(1500)};
-  const auto answer = ErrorResponse(failed, "r1");
-  BOOST_TEST(answer.result_int() == 503U);
-  BOOST_TEST(answer["Valeledge-Outcome"] == "not_run");
-  BOOST_TEST(answer["Valeledge-Reason"] == "2003");
-  BOOST_TEST(answer["Retry-After"] == "2");
-  BOOST_TEST(answer.body().find("\"outcome\":\"not_run\"") !=
+  const auto response = ErrorResponse(failed, "r1");
+  BOOST_TEST(response.result_int() == 503U);
+  BOOST_TEST(response["Valeledge-Outcome"] == "not_run");
+  BOOST_TEST(response["Valeledge-Reason"] == "2003");
+  BOOST_TEST(response["Retry-After"] == "2");
+  BOOST_TEST(response.body().find("\"outcome\":\"not_run\"") !=
              std::string::npos);
 }
