--- a/src/membership/constants.h
+++ b/src/membership/constants.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Keys of soft records that have one owner in the whole system.
+// Keys of soft-state records that have a single owner in the whole system.
 #ifndef VALELEDGE_MEMBERSHIP_CONSTANTS_H_
 #define VALELEDGE_MEMBERSHIP_CONSTANTS_H_
 
@@ -7,10 +7,11 @@
 
 namespace valeledge::membership {
 
-// "ADDRESS TERM" of the controller that holds the lease.
+// Value: "ADDRESS TERM" of the controller that holds the lease.
 inline constexpr std::string_view kControllerRecord = "controller/leader";
 
-// IP numbers that the platform's host list calls leaving, one a line.
+// Value: IP addresses that the platform's host list marks as leaving, one per
+// line.
 inline constexpr std::string_view kLeavingHostsRecord = "hosts/leaving";
 
 }  // namespace valeledge::membership
--- a/src/membership/gossip.cc
+++ b/src/membership/gossip.cc
@@ -24,14 +24,14 @@
 using detail::SendFullStateIfDifferent;
 using detail::ShouldRequestFullSync;
 
-// Members asked to probe one that did not answer.
+// Number of members that are requested to probe an unresponsive one.
 constexpr std::size_t kIndirectProbes = 2;
 
-// Suspects are found overdue so much later at the most. Walking 294 members at
-// each tick showed among the first of what an idle host did (sampled profile).
+// Maximum delay in detecting that a suspect is overdue. Iterating over 294
+// members on each tick was among the largest CPU costs of an idle host.
 constexpr auto kExpiryCheckInterval = std::chrono::milliseconds(250);
 
-// Relayed pings are expired after this many probe timeouts.
+// Relayed pings expire after this many probe timeouts.
 constexpr int kRelayTimeouts = 10;
 
 bool IsSuspect(const known_member& each) {
@@ -90,8 +90,8 @@
   events.changed.push_back(each.record.id);
 }
 
-// An earlier run of this process had a higher incarnation: the clock has been
-// set back since.
+// Raises the incarnation above that of an earlier run of this process. It can
+// be higher if the clock has been set back since.
 void SupersedeEarlierRun(gossip_state& state,
                          const member& earlier,
                          gossip_events& events) {
@@ -102,11 +102,12 @@
   events.refuted = true;
 }
 
-// What others say of this process: contradicted unless it is alive.
+// Processes a received record of this process; refutes suspect and dead.
 void HandleSelfUpdate(gossip_state& state,
                       const member& received,
                       gossip_events& events) {
-  // At another address it is a later process of this name, which replaced this.
+  // A higher incarnation at another address is a later process with this name,
+  // which has replaced this one.
   const bool earlier = received.incarnation > state.self.incarnation &&
                        received.address == state.self.address;
   if (earlier) {
@@ -125,8 +126,9 @@
   events.refuted = true;
 }
 
-// Tells a process that it is held for suspect or dead, or for the run before
-// it, so that it can object. `sender`: what it said of itself; null if nothing.
+// Sends a process its record if this process has it as suspect, dead or at a
+// newer incarnation, so that it can refute. `sender` is the record that the
+// process sent of itself; null if none.
 void NotifyIfSuspected(gossip_state& state,
                        const std::string& id,
                        const member* sender,
@@ -144,7 +146,7 @@
   events.datagrams.back().message.updates.push_back(found->second.record);
 }
 
-// True if the news should travel on at once.
+// Returns true if the update should be disseminated immediately.
 bool HandleMemberUpdate(gossip_state& state,
                         const member& received,
                         base::time_point now,
@@ -182,8 +184,8 @@
   }
   AddRumor(state, received.id, true);
   events.changed.push_back(received.id);
-  // Who waits for a process that has ended should learn of it at once, and of
-  // one that was suspected wrongly as well.
+  // Processes that wait for a terminated member need to know immediately, and
+  // also when a suspicion is refuted.
   const bool suspected = known.record.health != before.health &&
                          known.record.incarnation == before.incarnation;
   return (known.record.leaving && !before.leaving) || suspected;
@@ -202,7 +204,7 @@
   events.records.push_back(received.key);
 }
 
-// Facts that a known member tells this one alone.
+// Processes records that a known member sent to this process only.
 void HandleDirectRecords(const gossip_state& state,
                          const wire::gossip_message& message,
                          gossip_events& events) {
@@ -281,8 +283,9 @@
   }
 }
 
-// A process that is alone, or was cut off from everyone, asks its seeds; one
-// that is not asks one now and then, so that two halves find each other.
+// Pings all seeds if no other member is alive, else a single seed in one of ten
+// probe intervals on average, so that the halves of a healed network partition
+// merge.
 void ContactSeeds(gossip_state& state,
                   random_source& random,
                   gossip_events& events) {
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Membership by gossip, as decisions without I/O: probes with indirect
-// probes, suspicion, refutation, leaving, soft records and the newest table
-// revision. Datagrams to send are returned; time and random numbers come in.
+// Gossip membership protocol without I/O: direct and indirect probes,
+// suspicion, refutation, leaving, soft-state records and the newest table
+// revision. The functions return the datagrams to send; the caller passes in
+// the time and the random number generator.
 #ifndef VALELEDGE_MEMBERSHIP_GOSSIP_H_
 #define VALELEDGE_MEMBERSHIP_GOSSIP_H_
 
@@ -24,43 +25,43 @@
 
 using random_source = std::mt19937_64;
 
-// How often and how long.
+// Intervals and limits of the protocol.
 struct gossip_settings {
-  // One member is probed in each interval.
+  // One member is probed per interval.
   std::chrono::microseconds probe_interval = std::chrono::seconds(1);
-  // Without an answer for this long, others are asked to probe.
+  // Without an acknowledgement within this time, indirect probes are requested.
   std::chrono::microseconds probe_timeout = std::chrono::milliseconds(300);
-  // A suspect that says nothing for this long is dead.
+  // A suspect that does not refute the suspicion within this time is declared
+  // dead.
   std::chrono::microseconds suspect_timeout = std::chrono::seconds(4);
-  // A dead member is forgotten after this long.
+  // Records of dead members are removed after this time.
   std::chrono::microseconds dead_retention = std::chrono::minutes(2);
-  // Members that are sent news at once.
+  // Number of members to which urgent updates are sent immediately.
   std::int64_t fanout = 3;
-  // Bytes of news in one datagram.
+  // Maximum size of the updates in one datagram.
   std::int64_t news_bytes = 900;
 };
 
-// Kinds of datagrams.
 enum class gossip_kind : std::int32_t {
   kPing = 1,
   kAck = 2,
-  // Asks the receiver to ping `target`.
+  // Requests the receiver to ping `target`.
   kPingRequest = 3,
-  // Carries news only.
+  // Carries updates only.
   kUpdates = 4,
-  // Part of everything the sender knows.
+  // Part of the sender's full state.
   kSync = 5,
-  // Facts of the sender for the receiver alone; they do not travel on.
+  // Records for the receiver only; not disseminated further.
   kDirect = 6,
 };
 
-// A datagram to send; the same one to each address.
+// A datagram to send to each of the addresses.
 struct outgoing_datagram {
   std::vector<base::endpoint> to;
   wire::gossip_message message;
 };
 
-// A fact that another member told this one directly.
+// A record that another member sent directly to this one.
 struct direct_record {
   std::string sender;
   base::endpoint sender_address;
@@ -68,18 +69,18 @@
   std::string value;
 };
 
-// Something the owner of the state should know.
+// Results of a protocol step for the owner of the state.
 struct gossip_events {
   std::vector<outgoing_datagram> datagrams;
-  // Members whose record changed.
+  // Ids of members whose record changed.
   std::vector<std::string> changed;
   // Keys of soft records that changed.
   std::vector<std::string> records;
-  // In the order in which they came; a later one replaces an earlier one of
-  // the same sender and key.
+  // In order of arrival; a later record replaces an earlier one with the same
+  // sender and key.
   std::vector<direct_record> direct;
-  // A peer with a newer table revision than this process, and its availability
-  // zone.
+  // Address and availability zone of a peer that has a newer table revision
+  // than this process.
   std::optional<base::endpoint> newer_table_at;
   std::string newer_table_zone;
   bool refuted = false;
@@ -87,11 +88,11 @@
 
 namespace detail {
 
-// One other process.
+// Another process.
 struct known_member {
   member record;
   base::endpoint address;
-  // When its present health was learned.
+  // Time at which this process received the current health.
   base::time_point health_since;
 };
 
@@ -102,7 +103,7 @@
   bool indirect = false;
 };
 
-// News still to be repeated.
+// An update that is still being disseminated.
 struct rumor {
   std::string key;
   bool is_member = false;
@@ -118,7 +119,7 @@
 
 }  // namespace detail
 
-// All that one process knows of the others. Made by gossip_builder; changed
+// One process's view of the membership. Created by gossip_builder; modified
 // only by the functions below.
 struct gossip_state {
   gossip_settings settings;
@@ -135,8 +136,8 @@
   std::int64_t next_sequence = 1;
   base::time_point next_probe;
   base::time_point next_sync;
-  // When this process next asks to be told everything, the pause before it, and
-  // the members that were known when it last asked.
+  // Time of the next full sync request, the interval before it, and the number
+  // of members known at the last one.
   base::time_point next_sync_request;
   std::chrono::microseconds sync_request_interval{0};
   std::size_t known_at_sync_request = 0;
@@ -144,7 +145,7 @@
   std::uint64_t digest = 0;
 };
 
-// Makes the state of a process that knows only its settings.
+// Builds the initial state of a process, which knows no other members.
 class gossip_builder {
  public:
   gossip_builder& Settings(gossip_settings settings);
@@ -152,7 +153,7 @@
                        base::endpoint address,
                        std::string zone,
                        std::int32_t roles);
-  // Higher than that of any earlier run of the same process.
+  // Must be higher than that of any earlier run of the same process.
   gossip_builder& Incarnation(std::chrono::system_clock::time_point started);
   gossip_builder& Seeds(std::vector<base::endpoint> seeds);
   gossip_state Build() const;
@@ -161,58 +162,59 @@
   gossip_state state_;
 };
 
-// Call often, at least four times in a probe timeout.
+// Runs the periodic work; must be called at least four times per probe timeout.
 gossip_events Tick(gossip_state& state,
                    base::time_point now,
                    random_source& random);
 
-// Call for each datagram received.
+// Processes a received datagram.
 gossip_events Receive(gossip_state& state,
                       const wire::gossip_message& message,
                       const base::endpoint& from,
                       base::time_point now,
                       random_source& random);
 
-// The process at this address did not answer a call: it is the next to be
-// probed.
+// Schedules the process at this address as the next one to be probed, because
+// it did not respond to a call.
 void ProbeNext(gossip_state& state, const base::endpoint& address);
 
-// This process takes no new work from now on; cannot be unsaid.
+// Announces that this process accepts no new work; irrevocable within an
+// incarnation.
 gossip_events AnnounceLeaving(gossip_state& state, random_source& random);
 
-// A newer table is in force here.
+// Announces that this process has applied a newer table.
 gossip_events AnnounceTable(gossip_state& state,
                             std::int64_t revision,
                             random_source& random);
 
-// Sets a soft record that this process owns.
+// Sets a soft-state record that this process owns.
 gossip_events AnnounceRecord(gossip_state& state,
                              const std::string& key,
                              std::string value,
                              std::chrono::system_clock::time_point now);
 
-// Whom a fact is told directly.
+// Selects the members to which a record is sent directly.
 struct direct_recipients {
-  // At most so many members.
+  // Maximum number of selected members; `always_included` is not counted.
   std::size_t max_count = 0;
-  // Chosen by rendezvous for this subject, the same for everyone who tells;
-  // empty: others each time.
+  // Members are selected by rendezvous hashing for this subject, the same from
+  // every sender; if empty, at random on each call.
   std::string subject;
-  // This one in any case; empty for none.
+  // An additional recipient.
   std::optional<base::endpoint> always_included;
-  // Only members of this availability zone; empty: of any.
+  // Restricts the selection to an availability zone; empty for all.
   std::string zone = {};
 };
 
-// Tells a fact to members that are not dead, each directly: for what is
-// outdated before it would have travelled on.
+// Sends a record directly to members that are not dead. For values that would
+// be outdated before gossip had disseminated them.
 gossip_events SendDirectly(gossip_state& state,
                            const std::string& key,
                            std::string value,
                            const direct_recipients& recipients,
                            random_source& random);
 
-// Every known member, this process included.
+// Returns the records of all known members, including this process.
 std::vector<member> Members(const gossip_state& state);
 
 }  // namespace valeledge::membership
--- a/src/membership/gossip_direct.cc
+++ b/src/membership/gossip_direct.cc
@@ -35,8 +35,8 @@
 
 namespace {
 
-// Addresses of the members, this process excepted, that are among the `count`
-// chosen for a subject.
+// Returns the addresses of the members selected for the subject, without this
+// process.
 std::vector<base::endpoint> SelectedAddresses(
     gossip_state& state,
     const direct_recipients& recipients) {
@@ -62,7 +62,8 @@
   soft_record record;
   record.key = key;
   record.value = std::move(value);
-  // The receiver knows this process already, or learns of it from its pings.
+  // The id is sufficient: receivers have the full record of this process, or
+  // obtain it from its pings.
   wire::gossip_message message;
   message.kind = static_cast<std::int32_t>(gossip_kind::kDirect);
   message.sender.id = state.self.id;
--- a/src/membership/gossip_direct.h
+++ b/src/membership/gossip_direct.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Whom a process tells something without being asked.
+// Selection of the members that receive unsolicited messages.
 #ifndef VALELEDGE_MEMBERSHIP_GOSSIP_DIRECT_H_
 #define VALELEDGE_MEMBERSHIP_GOSSIP_DIRECT_H_
 
@@ -11,11 +11,11 @@
 
 namespace valeledge::membership::detail {
 
-// Suspects are probed and told as well, the dead are not.
+// Dead members are neither probed nor sent updates; suspects are.
 bool IsDead(const known_member& each);
 
-// Up to `count` members that are not dead, at random; not the one whose id is
-// `excluded_id`.
+// Picks up to `count` random members of `zone` (any if empty) that are not
+// dead, leaving out `excluded_id`.
 std::vector<const known_member*> PickRandomMembers(
     const gossip_state& state,
     std::size_t count,
--- a/src/membership/gossip_sync.cc
+++ b/src/membership/gossip_sync.cc
@@ -10,16 +10,15 @@
 
 namespace {
 
-// A process asks those it probes for everything they know after this time as
-// long as it learns of new members, then after twice as long each time. Of 295
-// processes that start together each knew all others after 25 s as long as
-// those that were asked decided how often they tell, after 9 s now (virtual
-// time).
+// Interval of full sync requests: the minimum while new members are being
+// discovered, then doubled each time up to the maximum. The prober controls the
+// interval: of 295 processes started together, each knew all others after 9 s,
+// but only after 25 s when the probed process limited the rate (virtual time).
 constexpr auto kMinSyncRequestInterval = std::chrono::milliseconds(500);
 constexpr auto kMaxSyncRequestInterval = std::chrono::seconds(10);
 
-// Without being asked, everything is told to peers that know something else
-// once in this time.
+// Minimum interval between unsolicited transmissions of the full state to peers
+// with a different digest.
 constexpr auto kSyncInterval = std::chrono::seconds(10);
 
 }  // namespace
--- a/src/membership/gossip_sync.h
+++ b/src/membership/gossip_sync.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Full exchanges: who is told everything that a process knows, and when.
+// Full state synchronization between two processes.
 #ifndef VALELEDGE_MEMBERSHIP_GOSSIP_SYNC_H_
 #define VALELEDGE_MEMBERSHIP_GOSSIP_SYNC_H_
 
@@ -7,27 +7,29 @@
 
 namespace valeledge::membership::detail {
 
-// Sends everything this process knows, in datagrams of the usual size.
+// Sends the full state of this process, split into datagrams.
 void SendFullState(gossip_state& state,
                    gossip_events& events,
                    const base::endpoint& to);
 
-// The same, if the sender of a message knows something else and nobody was told
-// everything lately.
+// Sends the full state if the digest of the message's sender differs and the
+// minimum interval since the last such transmission has passed.
 void SendFullStateIfDifferent(gossip_state& state,
                               const wire::gossip_message& message,
                               const base::endpoint& from,
                               base::time_point now,
                               gossip_events& events);
 
-// Whether a sender is a run that was not heard of before: it knows nothing.
+// True if the sender, or its incarnation, is unknown to this process. Such a
+// sender has just started and has no state yet.
 bool IsNewIncarnation(const gossip_state& state, const member& sender);
 
-// Whether a sender asks for everything, and knows something else.
+// True if the sender requests the full state and its digest differs.
 bool RequestsFullSync(const gossip_state& state,
                       const wire::gossip_message& message);
 
-// Whether a process that is probed now is asked for everything it knows.
+// True if the next probe should request the full state; schedules the next
+// request.
 bool ShouldRequestFullSync(gossip_state& state, base::time_point now);
 
 }  // namespace valeledge::membership::detail
--- a/src/membership/gossip_updates.cc
+++ b/src/membership/gossip_updates.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Each piece of news is repeated this often per doubling of the fleet.
+// An update is sent this many times per doubling of the number of members.
 constexpr std::int64_t kRepeatsPerDoubling = 2;
 
-// What a record takes in a datagram beside its texts, about.
+// Approximate encoded size in bytes of a record without its strings.
 constexpr std::int64_t kRecordOverhead = 24;
 
 std::int64_t SizeOf(const member& each) {
@@ -43,10 +43,10 @@
   std::erase_if(state.rumors, [&](const rumor& each) {
     return each.key == key && each.is_member == is_member;
   });
-  // Before older ones that were sent as seldom: while hundreds of members are
-  // new to each other, one that leaves would wait behind them all (64 processes
-  // a few seconds after their start knew of it after 3.3 s, and do now within
-  // 2).
+  // Newer updates precede older ones that were sent equally often. Otherwise,
+  // while hundreds of members join, the update of a leaving member would be
+  // queued after all joins: with 64 processes started a few seconds earlier, it
+  // took 3.3 s instead of at most 2 s to reach all.
   state.rumors.insert(state.rumors.begin(), {key, is_member, 0});
 }
 
--- a/src/membership/gossip_updates.h
+++ b/src/membership/gossip_updates.h
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What a gossip message carries beside its own purpose: news still to be
-// repeated, or everything.
+// Payload of gossip messages: pending updates, or the full state.
 #ifndef VALELEDGE_MEMBERSHIP_GOSSIP_UPDATES_H_
 #define VALELEDGE_MEMBERSHIP_GOSSIP_UPDATES_H_
 
@@ -11,14 +10,14 @@
 
 namespace valeledge::membership::detail {
 
-// The record under `key` is to be repeated from now on.
+// Queues the record under `key` for dissemination.
 void AddRumor(gossip_state& state, const std::string& key, bool is_member);
 
-// Puts the news that was repeated least into a message.
+// Adds pending updates to a message, least often sent first.
 void AttachUpdates(gossip_state& state, wire::gossip_message& message);
 
-// All members and records that are known, in messages of the usual size that
-// hold nothing else.
+// Splits all known members and records into messages whose payload is limited
+// to gossip_settings::news_bytes.
 std::vector<wire::gossip_message> SplitFullState(const gossip_state& state);
 
 }  // namespace valeledge::membership::detail
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What is known of one process, and how two reports of it are merged.
+// The record of one process, and merging of two records of it.
 #ifndef VALELEDGE_MEMBERSHIP_MEMBER_H_
 #define VALELEDGE_MEMBERSHIP_MEMBER_H_
 
@@ -13,27 +13,27 @@
 
 enum class member_health : std::int32_t { kAlive = 0, kSuspect = 1, kDead = 2 };
 
-// What a process does; a bit each.
+// Functions of a process, as bit flags.
 enum role : std::int32_t {
   kGateway = 1,
   kScheduler = 2,
   kController = 4,
-  // Its link is wide enough to read and hand on large values for others.
+  // Has enough network bandwidth to read and relay large values for others.
   kHighBandwidth = 8,
 };
 
 using member = wire::member_record;
 
-// Takes what `received` adds to `known`; true if that changed anything. A
-// higher incarnation replaces the record; within one, leaving is never unsaid,
-// a higher health version wins, and at the same version the worse health. The
-// merge is commutative, associative and idempotent.
+// Merges `received` into `known` and returns true if that changed `known`. A
+// higher incarnation replaces the record. Within an incarnation, leaving is
+// irrevocable and the higher health version takes precedence; at equal versions
+// the worse health does. The merge is commutative, associative and idempotent.
 bool Merge(member& known, const member& received);
 
-// Whether new work may go to this process.
+// True if new work may be assigned to this process.
 bool TakesWork(const member& each);
 
-// A hash over everything that Merge looks at.
+// Returns a hash of all fields that Merge compares.
 std::uint64_t Digest(const member& each);
 
 std::string_view ToString(member_health health);
--- a/src/membership/ownership.cc
+++ b/src/membership/ownership.cc
@@ -55,7 +55,7 @@
 
 namespace {
 
-// The schedulers that may own cells of a zone, with how many they have.
+// Candidate owners of a zone's cells, and the number of cells each one owns.
 struct zone_schedulers {
   std::vector<const member*> members;
   std::size_t max_cells = 0;
--- a/src/membership/ownership.h
+++ b/src/membership/ownership.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Who does what, chosen alike by every process that knows the same members.
+// Assignment of work to members. Processes with the same view of the membership
+// compute the same assignment.
 #ifndef VALELEDGE_MEMBERSHIP_OWNERSHIP_H_
 #define VALELEDGE_MEMBERSHIP_OWNERSHIP_H_
 
@@ -14,9 +15,9 @@
 
 namespace valeledge::membership {
 
-// The `count` members with the highest rendezvous weight for `subject` among
-// those that take work, have all of `roles`, and are in `zone` (any if
-// empty); best first.
+// Returns the `count` members with the highest rendezvous weight for `subject`
+// among those that accept work, have all of `roles` and are in `zone` (any if
+// empty), in descending order of weight.
 std::vector<const member*> ChooseOwners(std::span<const member> members,
                                         std::string_view subject,
                                         std::int32_t roles,
@@ -28,8 +29,8 @@
                                         std::string_view zone,
                                         std::size_t count);
 
-// The scheduler that decides for a cell: one in the cell's availability zone
-// if there is any, else any; null if there is none.
+// Returns the scheduler that owns a cell: one in the cell's availability zone
+// if possible, else in any zone; null if there are no schedulers.
 const member* ChooseCellOwner(std::span<const member> members,
                               std::string_view cell,
                               std::string_view zone);
@@ -40,10 +41,10 @@
   std::string zone;
 };
 
-// The scheduler of each cell: by rendezvous among those of its availability
-// zone (all, if it has none), but none gets more than its even part, rounded
-// up. Processes that know the same members and cells assign alike. Cells
-// without any scheduler are missing.
+// Assigns a scheduler to each cell by rendezvous hashing among the schedulers
+// of its availability zone (all schedulers if the zone has none). No scheduler
+// is assigned more than its even share, rounded up. The assignment depends only
+// on the sets of members and cells. Without any schedulers it is empty.
 std::map<std::string, member, std::less<>> AssignCells(
     std::span<const member> members,
     std::vector<cell_site> cells);
--- a/src/membership/selection_cache.cc
+++ b/src/membership/selection_cache.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Choices kept at the most; subjects are names of backend servers, and a
-// release brings new ones. 860 servers are the largest fleet planned for.
+// Bounds the cache: subjects are names of backend servers, and each release
+// adds new names. The largest planned fleet has 860 servers.
 constexpr std::size_t kMaxCachedSelections = 4096;
 
 std::vector<std::string> ComputeSelection(const gossip_state& state,
--- a/src/membership/selection_cache.h
+++ b/src/membership/selection_cache.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Who is chosen for a subject, as one process sees its members; remembered
-// until they change.
+// Members selected for a subject from one process's view of the membership,
+// cached until that view changes.
 #ifndef VALELEDGE_MEMBERSHIP_SELECTION_CACHE_H_
 #define VALELEDGE_MEMBERSHIP_SELECTION_CACHE_H_
 
@@ -17,9 +17,9 @@
 
 struct gossip_state;
 
-// The `count` members that are chosen by rendezvous for `subject`, of one
-// availability zone or, if it is empty, of all. Only members with all roles in
-// `preferred_roles` are chosen, if there are any.
+// Selects `count` members for `subject` by rendezvous hashing, within `zone`
+// or, if it is empty, in all availability zones. If any members have all
+// `preferred_roles`, only these are candidates.
 struct selection_query {
   std::string subject;
   std::string zone;
@@ -29,23 +29,24 @@
   auto operator<=>(const selection_query&) const = default;
 };
 
-// Choices that were made since the members last changed. A choice among 295
-// members takes some 25 microseconds, and a host that serves callers needs
-// hundreds in a second: without memory they were nine tenths of the processor
-// time of an idle fleet of that size (sampled profile).
+// Selections computed since the membership last changed. Selecting from 295
+// members takes about 25 microseconds, and a host that serves callers needs
+// hundreds of selections per second: without the cache they took 90 % of the
+// CPU time of an idle fleet of that size.
 struct selection_cache {
   std::map<selection_query, std::vector<std::string>> entries;
 };
 
-// Ids of the chosen members, this process included, best first. The reference
-// is good until the state changes or the next choice is made.
+// Returns the ids of the selected members in descending order of weight; this
+// process is a candidate as well. The reference is valid until the next call or
+// change of the state.
 const std::vector<std::string>& SelectMembers(gossip_state& state,
                                               const selection_query& query);
 
 namespace detail {
 
-// Forgets selections that a change of one member's record may have made wrong.
-// `before` is null for a member that is new.
+// Clears the cache if a change of one member's record can affect selections.
+// `before` is null for a new member.
 void InvalidateSelections(selection_cache& memory,
                           const member* before,
                           const member& after);
--- a/src/membership/soft_state.h
+++ b/src/membership/soft_state.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Facts that owners repeat and nobody agrees on; the highest stamp wins.
+// Records that their owners disseminate without consensus; the record with the
+// highest stamp takes precedence.
 #ifndef VALELEDGE_MEMBERSHIP_SOFT_STATE_H_
 #define VALELEDGE_MEMBERSHIP_SOFT_STATE_H_
 
@@ -14,17 +15,18 @@
 
 using soft_record = wire::soft_record;
 
-// Records by key. A record with the same stamp as the one known loses to the
-// greater value, so that every process keeps the same one.
+// Records by key. Of two records with equal stamps, the one with the greater
+// value is kept, so that all processes converge to the same one.
 struct soft_state {
   std::map<std::string, soft_record, std::less<>> records;
 };
 
-// True if `received` replaced what was known.
+// Returns true if `received` replaced the known record.
 bool Merge(soft_state& state, const soft_record& received);
 
-// Sets a record that this process owns: its stamp is above all known ones and
-// not below `now_us`, microseconds of the host's clock. The record as set.
+// Sets a record that this process owns and returns it. Its stamp is higher than
+// that of the known record and not below `now_us`, the host's clock in
+// microseconds.
 const soft_record& SetOwnRecord(soft_state& state,
                                 const std::string& key,
                                 std::string value,
--- a/tests/auto/membership/fake_network.h
+++ b/tests/auto/membership/fake_network.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Many gossip states in virtual time, with datagrams that take a millisecond,
-// get lost, or cannot pass a cut.
+// Simulates many gossip processes in virtual time. Datagrams take a millisecond
+// and can be lost at random or by a network partition.
 #ifndef VALELEDGE_TESTS_AUTO_MEMBERSHIP_FAKE_NETWORK_H_
 #define VALELEDGE_TESTS_AUTO_MEMBERSHIP_FAKE_NETWORK_H_
 
@@ -43,14 +43,14 @@
   gossip_state& At(int index) { return states_.at(Address(index)); }
   std::size_t size() const { return states_.size(); }
 
-  // The process neither sends nor receives from now on.
+  // A suspended process neither sends nor receives.
   void Suspend(int index) { suspended_.insert(Address(index)); }
   void Resume(int index) { suspended_.erase(Address(index)); }
   void SetLoss(double share) { loss_ = share; }
-  // Datagrams for which this is true are lost.
+  // Drops datagrams for which `cut` returns true.
   void Cut(std::function<bool(int from, int to)> cut) { cut_ = std::move(cut); }
 
-  // A process that hears of a newer table has it at once.
+  // A process that receives a newer table revision applies it immediately.
   void FetchTablesImmediately() { fetches_tables_ = true; }
 
   void Send(int index, const gossip_events& events) {
@@ -65,7 +65,8 @@
     }
   }
 
-  // Runs until `condition` or for `max_duration`; the time that passed.
+  // Runs until `condition` is met, at most for `max_duration`; returns the
+  // elapsed virtual time.
   std::chrono::microseconds Run(std::chrono::microseconds max_duration,
                                 const std::function<bool()>& condition = {}) {
     const auto start = now_;
@@ -74,14 +75,15 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(now_ - start);
   }
 
-  // What `index` holds of `other`.
+  // Returns the record of `other` in the view of `index`; null if unknown.
   const member* Find(int index, int other) {
     const auto& others = At(index).others;
     const auto found = others.find("n" + std::to_string(other));
     return found == others.end() ? nullptr : &found->second.record;
   }
 
-  // Whether every awake process agrees to something about `other`.
+  // True if the record of `other` satisfies `predicate` in the view of every
+  // other process that is not suspended.
   bool AllViewsSatisfy(int other,
                        const std::function<bool(const member*)>& predicate) {
     for (std::size_t i = 0; i < size(); ++i) {
--- a/tests/auto/membership/figures.cc
+++ b/tests/auto/membership/figures.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Figures of membership at the target's size, in virtual time: prints a CSV
-// line for each size and event. Not a test; docs/CAPACITY.md uses it.
+// Measures membership at the target size in virtual time and prints a CSV line
+// per size and event. Not a test; used by docs/CAPACITY.md.
 #include <cstdio>
 #include <cstdlib>
 
@@ -29,7 +29,7 @@
   explicit meter(const fake_network& net)
       : bytes(net.bytes()), start(net.now()) {}
 
-  // Bytes sent and received a second for each process since the start.
+  // Bytes sent and received per second and process since the start.
   double PerProcess(const fake_network& net, std::size_t size) const {
     const std::chrono::duration<double> passed = net.now() - start;
     const auto sent = static_cast<double>(net.bytes() - bytes);
--- a/tests/auto/membership/test_gossip.cc
+++ b/tests/auto/membership/test_gossip.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Membership under loss, silence and cuts, in virtual time.
+// Membership under packet loss, unresponsive processes and network partitions,
+// in virtual time.
 #include <boost/test/unit_test.hpp>
 
 #include "fake_network.h"
@@ -40,8 +41,9 @@
   }
 }
 
-// Until hosts know each other they choose different ones for the same duty. It
-// took 25 s while those that are asked decided how often they tell everything.
+// Until hosts have discovered each other, they select different owners for the
+// same task. Discovery took 25 s when the probed process limited the rate of
+// full syncs.
 BOOST_AUTO_TEST_CASE(hundreds_started_together_discover_each_other) {
   fake_network net(295, {}, 1);
   const auto all_known = [&] {
@@ -76,20 +78,20 @@
   net.Suspend(7);
   const auto took =
       net.Run(60s, [&] { return net.AllViewsSatisfy(7, IsGone); });
-  // One round of probes, the suspicion, and its spread.
+  // One round of probes, the suspicion timeout, and dissemination.
   BOOST_TEST(took < 32s + 4s + 5s);
   BOOST_TEST(took > 4s);
 }
 
-// Who waits for a process that has ended goes to the next one once it is
-// suspected: hosts go on without the owner of a limit for two seconds.
+// Processes that wait for a terminated member switch to the next one once it is
+// suspected: hosts tolerate the loss of a limit's owner for two seconds.
 BOOST_AUTO_TEST_CASE(suspicion_reaches_all_members_within_two_seconds) {
   const auto is_suspected = [](const member* each) { return !IsAlive(each); };
   for (const unsigned seed : {1U, 2U, 3U}) {
     fake_network net(69, {}, seed);
     net.Run(20s, [&] { return AllKnowAll(net); });
     net.Suspend(7);
-    // Those that wait for it have it probed next.
+    // Processes that wait for the member schedule it as their next probe.
     for (int i = 0; i < 69; ++i) {
       if (i != 7)
         ProbeNext(net.At(i), fake_network::Address(7));
@@ -155,9 +157,10 @@
   BOOST_TEST(net.AllViewsSatisfy(2, is_new_run));
 }
 
-// A clock that was set back gives a new run a lower incarnation than the one
-// before, which left: without an answer to that the new run would be taken for
-// the old one until its clock has caught up, and get no work.
+// If the clock is set back, a new run starts with a lower incarnation than the
+// earlier run, which left. Unless the new run raises its incarnation, other
+// members assume that it is the earlier run and assign no work to it until its
+// clock has caught up.
 BOOST_AUTO_TEST_CASE(
     a_restart_after_a_clock_step_back_replaces_the_earlier_run) {
   fake_network net(16, {}, 8);
@@ -202,7 +205,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_process_receives_all_records_within_a_second) {
-  // Found by outage.scn: the exchange of everything had been used up lately.
+  // Guards against a fault found by outage.scn: the peers did not send their
+  // full state because they had done so within the sync interval.
   fake_network net(16, {}, 12);
   net.Run(20s, [&] { return AllKnowAll(net); });
   for (int i = 0; i < 16; ++i) {
@@ -238,8 +242,8 @@
   }
 }
 
-// Whoever tells of a subject tells the same members, itself excepted; what is
-// told reaches them and does not travel on.
+// All senders select the same recipients for a subject, without themselves; a
+// direct record is not disseminated further.
 BOOST_AUTO_TEST_CASE(direct_records_reach_the_same_members_from_every_sender) {
   fake_network net(24, {}, 5);
   net.Run(10s, [&] { return AllKnowAll(net); });
@@ -300,8 +304,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(cells_are_distributed_evenly_among_schedulers) {
-  // Found by measure_capacity.py: by rendezvous alone one scheduler owned
-  // three cells and used 18 KB/s, others none.
+  // Guards against a fault found by measure_capacity.py: with rendezvous
+  // hashing alone, one scheduler owned three cells and used 18 KB/s, others
+  // owned none.
   std::vector<member> members;
   for (int i = 0; i < 30; ++i) {
     member each;
@@ -320,13 +325,13 @@
     BOOST_TEST(++owned[owner.id] <= 2);
   }
   BOOST_TEST(before.size() == 27U);
-  // The same whatever the order in which members and cells are known.
+  // The assignment does not depend on the order of members and cells.
   std::ranges::reverse(members);
   std::ranges::reverse(cells);
   const auto again = AssignCells(members, cells);
   for (const auto& [cell, owner] : before)
     BOOST_TEST(again.at(cell).id == owner.id);
-  // One that leaves moves its own cells and few others.
+  // If a scheduler leaves, its cells and few others are reassigned.
   for (member& each : members)
     each.leaving = each.id == before.begin()->second.id;
   int moved = 0;
--- a/tests/auto/membership/test_merge.cc
+++ b/tests/auto/membership/test_merge.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Merging reports gives the same result in any order, however often.
+// Merging records is independent of their order and of repetitions.
 #include <rapidcheck.h>
 
 #include <boost/test/unit_test.hpp>
--- a/tests/auto/membership/test_selection_cache.cc
+++ b/tests/auto/membership/test_selection_cache.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Choices among members, and the memory of them.
+// Selection of members, and its cache.
 #include "membership/selection_cache.h"
 
 #include <boost/test/unit_test.hpp>
@@ -39,7 +39,7 @@
             random);
   }
 
-  // The choice worked out without any memory.
+  // Computes the selection without the cache.
   std::vector<std::string> SelectWithoutCache(
       const selection_query& query) const {
     std::vector<std::string> out;
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-// Members with the preferred role are chosen while there are any, whoever they
-// are, and any others then.
+// Members with the preferred role are selected while there are any, then the
+// same members as without a preference.
 BOOST_AUTO_TEST_CASE(members_with_preferred_roles_are_selected_first) {
   test_member process;
   for (int i = 1; i < kMembers; ++i) {
@@ -87,8 +87,8 @@
              SelectMembers(process.state, any).front());
 }
 
-// Members come, leave, are found dead, come back and start anew in any order;
-// after each change every choice is the one that is made without memory.
+// Members join, leave, are declared dead, recover and restart in random order;
+// after each change, cached selections equal those computed without the cache.
 BOOST_AUTO_TEST_CASE(cached_selections_follow_every_change) {
   for (const unsigned seed : {1U, 2U, 3U, 4U}) {
     test_member process;
@@ -130,7 +130,8 @@
   }
 }
 
-// Suspicion comes and goes all the time on a lossy network, and moves no work.
+// Members are often suspected and refute it on a lossy network. That moves no
+// work, and so must not clear the cache.
 BOOST_AUTO_TEST_CASE(suspicion_keeps_cached_selections) {
   test_member process;
   for (int i = 1; i < kMembers; ++i)
@@ -142,7 +143,7 @@
   BOOST_TEST(process.state.selections.entries.size() == 1u);
 }
 
-// Subjects are names of servers, and each release brings new ones.
+// Subjects are names of servers, and each release adds new names.
 BOOST_AUTO_TEST_CASE(selection_cache_is_bounded) {
   test_member process;
   process.Deliver(MemberOf(1, 1));
