--- a/src/gateway/constants.h
+++ b/src/gateway/constants.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Names and limits that the gateway keeps to.
+// Header fields, limits and timeouts of the gateway.
 #ifndef VALELEDGE_GATEWAY_CONSTANTS_H_
 #define VALELEDGE_GATEWAY_CONSTANTS_H_
 
@@ -9,7 +9,7 @@
 
 namespace valeledge::gateway {
 
-// Header fields towards callers.
+// Header fields of requests and responses between callers and the gateway.
 inline constexpr std::string_view kDeadlineField = "Valeledge-Deadline";
 inline constexpr std::string_view kPriorityField = "Valeledge-Priority";
 inline constexpr std::string_view kOutcomeField = "Valeledge-Outcome";
@@ -19,44 +19,46 @@
 inline constexpr std::string_view kServerField = "Valeledge-Server";
 inline constexpr std::string_view kKeyField = "Idempotency-Key";
 
-// Header field towards backend servers.
+// Header field of requests to backend servers.
 inline constexpr std::string_view kAttemptField = "Valeledge-Attempt";
 
-// Longest idempotency key.
+// Maximum length of an idempotency key in bytes.
 inline constexpr std::size_t kMaxKeyLength = 200;
 
-// Characters of a conversation that count as its prefix.
+// Number of bytes of a conversation that are hashed as its prefix.
 inline constexpr std::size_t kPrefixCharacters = 512;
 
-// Tokens expected of an answer that sets no max_tokens.
+// Estimated tokens of the response to a request without max_tokens.
 inline constexpr int kDefaultMaxTokens = 128;
 
-// How long a gateway goes on avoiding a scheduler that it could not reach.
+// Time for which an unreachable scheduler is not queried.
 inline constexpr std::chrono::microseconds kSchedulerAvoidance =
     std::chrono::seconds(2);
 
-// How long a call of a plain service may wait for its turn.
+// Maximum wait of a plain service call for a grant.
 inline constexpr std::chrono::microseconds kServiceGrantTimeout =
     std::chrono::seconds(3);
 
-// A cell's load as its scheduler answered it counts for so long; then what
-// gossip says does.
+// Time for which the load that a cell's scheduler reported takes precedence
+// over the load received by gossip.
 inline constexpr std::chrono::microseconds kReportedLoadLifetime =
     std::chrono::seconds(1);
 
-// Extra wait for a grant beyond the time in which it could be of use.
+// Additional wait for a scheduler's reply beyond the grant timeout.
 inline constexpr std::chrono::microseconds kGrantGracePeriod =
     std::chrono::milliseconds(200);
 
-// A recorded answer is waited for so long before the caller is answered.
+// Timeout of a claim update at one scheduler. The caller receives the response
+// only after the update.
 inline constexpr std::chrono::microseconds kClaimUpdateTimeout =
     std::chrono::milliseconds(500);
 
-// Attempts in flight are repeated to their cells' owners this often.
+// Interval at which attempts in flight are reported to the owners of their
+// cells.
 inline constexpr std::chrono::microseconds kInFlightReportInterval =
     std::chrono::seconds(2);
 
-// Time to come back when nothing better is known.
+// Retry-after delay of refusals that do not set one.
 inline constexpr std::chrono::milliseconds kDefaultRetryAfter =
     std::chrono::milliseconds(1000);
 
--- a/src/gateway/process/caller_frontend.cc
+++ b/src/gateway/process/caller_frontend.cc
@@ -95,12 +95,13 @@
   const bool chat = path == "/v1/chat/completions";
   const bool service = path.starts_with(kServicesPath);
   if (chat && request.method() != http::verb::post) {
-    co_await responder.Send(
-        ErrorResponse(Refusal(result_code::kMethodNotAllowed, "use POST"), {}));
+    co_await responder.Send(ErrorResponse(
+        Refusal(result_code::kMethodNotAllowed, "the method must be POST"),
+        {}));
   } else if ((chat || service) && shared_.refuses_requests) {
     metrics().CountRefusal(result_code::kLeaving);
     co_await responder.Send(ErrorResponse(
-        Refusal(result_code::kLeaving, "this host is leaving"), {}));
+        Refusal(result_code::kLeaving, "this gateway is shutting down"), {}));
   } else if (chat) {
     co_await ServeChat(*this, request, responder);
   } else if (service) {
--- a/src/gateway/process/caller_frontend.h
+++ b/src/gateway/process/caller_frontend.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One thread that serves callers.
+// HTTP server for callers on one thread.
 #ifndef VALELEDGE_GATEWAY_PROCESS_CALLER_FRONTEND_H_
 #define VALELEDGE_GATEWAY_PROCESS_CALLER_FRONTEND_H_
 
@@ -18,7 +18,7 @@
 
 namespace valeledge::gateway {
 
-// What the threads of a gateway share.
+// State shared by the threads of a gateway.
 struct gateway_shared {
   gateway_shared(gateway_settings settings_in, std::int32_t roles)
       : settings(std::move(settings_in)),
@@ -30,20 +30,20 @@
   grant_client grants;
   retry_budgets budgets;
   request_journal journal;
-  // Refuses new work from now on.
+  // Set when the gateway shuts down: new requests are refused.
   std::atomic<bool> refuses_requests = false;
 };
 
-// Accepts callers and answers their requests on a thread of its own.
+// Accepts connections from callers and serves their requests on its own thread.
 class caller_frontend {
  public:
   caller_frontend(gateway_shared& shared, int number);
   ~caller_frontend();
 
   base::result<void> Start();
-  // Accepts nothing more; from any thread.
+  // Stops accepting connections. Thread-safe.
   void Drain();
-  // Requests that are being answered; from any thread.
+  // Number of requests in progress. Thread-safe.
   std::int64_t active() const { return active_.load(); }
   void Stop();
 
@@ -53,7 +53,7 @@
   const gateway_settings& settings() const { return shared_.settings; }
   base::metrics& metrics() { return shared_.node.metrics(); }
 
-  // Runs `work` on the peers' thread; an error if its ring is full.
+  // Runs `work` on the node's peer thread; fails if its queue is full.
   template <typename value_type, typename work_type>
   boost::asio::awaitable<base::result<value_type>> RunOnPeerThread(
       work_type work) {
@@ -61,7 +61,7 @@
         shared_.node.peers(), std::move(work));
     if (!value) {
       co_return base::NotRun(base::result_code::kRingFull,
-                             "too many requests wait in this process");
+                             "the queue of the peer thread is full");
     }
     co_return std::move(*value);
   }
--- a/src/gateway/process/fallback_router.h
+++ b/src/gateway/process/fallback_router.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// How a gateway chooses a backend server alone: when no scheduler can be
-// reached, and as the plain ways that scheduling is measured against.
+// Selection of backend servers without a scheduler: the fallback while no
+// scheduler is reachable, and baseline strategies for benchmarks.
 #ifndef VALELEDGE_GATEWAY_PROCESS_FALLBACK_ROUTER_H_
 #define VALELEDGE_GATEWAY_PROCESS_FALLBACK_ROUTER_H_
 
@@ -18,25 +18,27 @@
 
 namespace valeledge::gateway {
 
-// A backend server chosen without a scheduler.
+// A backend server selected without a scheduler.
 struct chosen_server {
   std::string name;
   std::string address;
   std::string cell;
 };
 
-// Keeps its own counts of what it sent; lives on the peers' thread.
+// Counts the attempts it has in flight at each server. All functions run on the
+// node's peer thread.
 class fallback_router {
  public:
-  // Chooses by `strategy`: "random", "round_robin" or "two_choices" (the less
-  // busy of two by own counts), among the servers that gossip says are ready.
+  // Selects one of the servers that are ready according to gossip. `strategy`:
+  // "random", "round_robin" or "two_choices" (of two random servers the one
+  // with fewer attempts of this gateway in flight).
   std::optional<chosen_server> Choose(std::string_view strategy,
                                       const table::snapshot& table,
                                       const node::member_view& view,
                                       decisions::unit_hash unit,
                                       const std::vector<std::string>& avoid);
 
-  // An attempt at this server has ended.
+  // Records that an attempt at this server has ended.
   void EndAttempt(const std::string& server);
 
  private:
@@ -45,7 +47,8 @@
   std::mt19937_64 random_{std::random_device{}()};
 };
 
-// The rows of the backend servers that gossip says are ready for a unit.
+// Returns the rows of the backend servers that are ready for a unit according
+// to gossip.
 std::vector<const table::row*> ReadyServers(const table::snapshot& table,
                                             const node::member_view& view,
                                             decisions::unit_hash unit);
--- a/src/gateway/process/gateway.h
+++ b/src/gateway/process/gateway.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The process valeledge-gateway.
+// The daemon valeledge-gateway.
 #ifndef VALELEDGE_GATEWAY_PROCESS_GATEWAY_H_
 #define VALELEDGE_GATEWAY_PROCESS_GATEWAY_H_
 
--- a/src/gateway/process/gateway_settings.cc
+++ b/src/gateway/process/gateway_settings.cc
@@ -13,35 +13,37 @@
   net::http_limits& limits = settings.limits;
   schema.Section("callers")
       .RequiredEndpoint("caller_listen", &settings.caller_listen,
-                        "Address for callers, HTTP/1.1.")
+                        "Address on which callers are served, HTTP/1.1.")
       .Integer("threads", &settings.caller_threads, 1, 64,
                "Threads that serve callers.")
       .Integer("connections", &limits.connections, 1, 1'000'000,
-               "Connections accepted at once by each thread.")
+               "Maximum number of open connections per thread.")
       .Integer("header_bytes", &limits.header_bytes, 1024, 1024 * 1024,
-               "Largest header of a request.")
+               "Maximum size of a request header.")
       .Integer("body_bytes", &limits.body_bytes, 1024, 1024 * 1024 * 1024,
-               "Largest body of a request.")
+               "Maximum size of a request body.")
       .Duration("idle_timeout", &limits.idle_timeout, milliseconds(100),
-                hours(24), "Connections without a request are closed after it.")
+                hours(24), "Idle connections are closed after this time.")
       .Duration("receive_timeout", &limits.receive_timeout, milliseconds(50),
                 hours(1), "A request must arrive within this time.")
       .Duration("write_timeout", &limits.write_timeout, milliseconds(50),
-                hours(1), "A caller must take a piece of its answer in it.")
+                hours(1), "Timeout of each write to a caller.")
       .Duration("deadline", &settings.deadline, milliseconds(10), hours(1),
-                "Time for a request that sets no Valeledge-Deadline.")
+                "Deadline of requests without Valeledge-Deadline.")
       .Duration("longest_deadline", &settings.longest_deadline,
-                milliseconds(10), hours(24), "Longest deadline that counts.");
+                milliseconds(10), hours(24),
+                "Maximum deadline that a caller can request.");
   schema.Section("backends")
       .Duration("connect_timeout", &settings.connect_timeout, milliseconds(5),
-                minutes(1), "Time to connect to a backend server.")
+                minutes(1), "Timeout for connecting to a backend server.")
       .Duration("stall_timeout", &settings.stall_timeout, milliseconds(20),
                 minutes(10),
-                "A backend server that sends nothing for it has failed.")
-      .Choice("routing", &settings.routing,
-              {"scheduler", "random", "round_robin", "two_choices"},
-              "Who chooses the backend server; the others are to measure "
-              "against.");
+                "A backend server that sends no data for this time has failed.")
+      .Choice(
+          "routing", &settings.routing,
+          {"scheduler", "random", "round_robin", "two_choices"},
+          "Selection of the backend server; all but scheduler are baselines "
+          "for benchmarks.");
   return schema;
 }
 
--- a/src/gateway/process/gateway_settings.h
+++ b/src/gateway/process/gateway_settings.h
@@ -11,7 +11,7 @@
 
 namespace valeledge::gateway {
 
-// What callers may send, and how long backend servers may take.
+// Limits for callers, timeouts for backend servers, and routing.
 struct gateway_settings {
   node::node_settings shared;
   base::endpoint caller_listen;
@@ -21,7 +21,7 @@
   std::chrono::microseconds longest_deadline = std::chrono::minutes(10);
   std::chrono::microseconds connect_timeout = std::chrono::milliseconds(500);
   std::chrono::microseconds stall_timeout = std::chrono::seconds(10);
-  // "scheduler", or how a gateway decides alone, to measure against.
+  // "scheduler", or a strategy of fallback_router as a baseline for benchmarks.
   std::string routing = "scheduler";
 };
 
--- a/src/gateway/process/grant_client.cc
+++ b/src/gateway/process/grant_client.cc
@@ -18,10 +18,11 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// Schedulers asked for one grant before the gateway chooses alone.
+// Maximum number of schedulers queried for a grant before the gateway selects
+// the server itself.
 constexpr int kMaxSchedulerAttempts = 3;
 
-// Claims are told to this many schedulers in turn.
+// Maximum number of schedulers to which a claim update is sent in turn.
 constexpr int kMaxClaimAttempts = 2;
 
 wire::grant_request Encode(const scheduling_request& request,
@@ -62,8 +63,8 @@
   return refusal;
 }
 
-// Refusals that hold for one cell: another may have room. Limits and claims
-// hold everywhere.
+// Refusals that apply to one cell only, so that another cell may accept the
+// request. Limits and claims apply to all cells.
 bool MayTryOtherCell(result_code code) {
   return code == result_code::kNoBackendServer ||
          code == result_code::kOverloaded ||
@@ -148,7 +149,7 @@
     return cell_owner{*base::ParseEndpoint(assigned->second.address),
                       assigned->second.incarnation};
   }
-  // Another one does it meanwhile.
+  // Until the owner is usable again, another scheduler takes over the cell.
   std::vector<membership::member> others;
   std::ranges::copy_if(view.members, std::back_inserter(others), usable);
   const auto* owner = membership::ChooseCellOwner(others, cell, zone);
@@ -187,7 +188,7 @@
     co_return tl::make_unexpected(reply.error());
   if (!reply->__isset.granted) {
     co_return base::NotRun(result_code::kPeerUnreachable,
-                           "the scheduler did not understand the call");
+                           "the scheduler's reply contains no grant");
   }
   const wire::grant_reply& response = reply->granted;
   if (response.__isset.load)
@@ -211,7 +212,7 @@
   }
   if (!address) {
     co_return base::NotRun(result_code::kPeerUnreachable,
-                           "the grant names no address");
+                           "the grant contains no valid address");
   }
   issued.address = *address;
   in_flight_[issued.attempt_id] = issued;
@@ -223,7 +224,8 @@
   if (const auto held = quarantine_.RemainingQuarantine(request.digest)) {
     auto refusal =
         base::MakeError(result_code::kHeldBack, base::outcome::kNotRun,
-                        "backend servers ended under this request");
+                        "the request is quarantined: backend servers crashed "
+                        "while processing it");
     refusal.retry_after = *held;
     co_return tl::make_unexpected(std::move(refusal));
   }
@@ -319,7 +321,7 @@
     scheduler.reset();
   }
   co_return base::Unknown(result_code::kClaimUnavailable,
-                          "the claim was not updated");
+                          "no scheduler confirmed the claim update");
 }
 
 asio::awaitable<void> grant_client::ReportInFlight() {
--- a/src/gateway/process/grant_client.h
+++ b/src/gateway/process/grant_client.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Asks schedulers for grants and tells them how attempts ended.
+// Requests grants from schedulers and reports the results of attempts to them.
 #ifndef VALELEDGE_GATEWAY_PROCESS_GRANT_CLIENT_H_
 #define VALELEDGE_GATEWAY_PROCESS_GRANT_CLIENT_H_
 
@@ -23,7 +23,7 @@
 
 namespace valeledge::gateway {
 
-// What a gateway wants to have served.
+// Request for a grant to send one attempt.
 struct scheduling_request {
   std::string request_id;
   std::string attempt_id;
@@ -32,20 +32,20 @@
   std::string partner;
   // "model/NAME", "adapter/NAME" or "service/NAME".
   std::string unit;
-  // The row that limits count for: a model's or service's name.
+  // Name of the model or service whose limits apply.
   std::string limited;
   std::int64_t prefix_hash = 0;
   std::int32_t tokens = 1;
   std::int32_t priority = 5;
-  // How long a grant may take and still be of use.
+  // Maximum wait for a grant, after which it is of no use.
   std::chrono::microseconds grant_timeout{0};
   std::vector<std::string> avoid;
-  // Set for calls that may not be repeated.
+  // Set for calls that must not be repeated.
   std::string idempotency_key;
   std::string request_digest;
 };
 
-// Leave to send one attempt to one backend server.
+// Permission to send one attempt to one backend server.
 struct grant {
   std::string attempt_id;
   // See request_common.
@@ -54,46 +54,51 @@
   std::string server;
   base::endpoint address;
   std::string cell;
-  // The scheduler that gave it; none if the gateway chose alone.
+  // The scheduler that issued the grant; none if the gateway selected the
+  // server itself.
   std::optional<base::endpoint> scheduler;
   std::int64_t claim_revision = 0;
-  // An earlier submission under the same key was answered with this.
+  // Recorded response of an earlier request with the same idempotency key.
   std::optional<std::string> recorded_answer;
   std::int32_t recorded_status = 0;
   std::string recorded_type;
 };
 
-// How an attempt ended.
+// Result of an attempt.
 struct attempt_result {
   base::outcome what_ran = base::outcome::kUnknown;
   bool unreachable = false;
-  // The server closed the connection at the beginning of its answer or before.
+  // The server is suspected to have crashed: it closed the connection before
+  // its response or at the beginning of it.
   bool server_crashed = false;
-  // The whole answer has come, and is no failure of the server.
+  // The response is complete and does not report a server failure.
   bool succeeded = false;
-  // From the grant to the end.
+  // Time from the grant to the end of the attempt.
   std::chrono::microseconds took{0};
   bool draining = false;
   std::int32_t tokens = 0;
   std::chrono::microseconds first_token{0};
 };
 
-// All functions run on the peers' thread of the node.
+// All functions run on the node's peer thread.
 class grant_client {
  public:
   grant_client(node::node& node, std::string routing);
 
-  // Starts to repeat the attempts in flight to the owners of their cells.
+  // Starts to report attempts in flight periodically to the owners of their
+  // cells.
   void Start();
 
-  // A grant, or the final refusal with its time to come back.
+  // Returns a grant, or the final refusal with its retry-after delay if one is
+  // known.
   boost::asio::awaitable<base::result<grant>> RequestGrant(
       scheduling_request request);
 
-  // Tells the scheduler that an attempt has ended.
+  // Reports the end of an attempt to the scheduler that issued the grant.
   void EndAttempt(const grant& issued, const attempt_result& result);
 
-  // Records or releases a claim; the error leaves it as it is.
+  // Records a response in a claim or releases the claim. On failure, the
+  // outcome of the update is unknown.
   boost::asio::awaitable<base::result<void>> UpdateClaim(
       wire::claim_update update,
       std::optional<base::endpoint> scheduler);
@@ -103,13 +108,13 @@
       const table::snapshot& table,
       const node::member_view& view,
       decisions::unit_hash unit);
-  // A scheduler to ask, and the run of it that is known.
+  // A scheduler that owns a cell, and its known incarnation.
   struct cell_owner {
     base::endpoint address;
     std::int64_t incarnation = 0;
   };
 
-  // Until when a run of a scheduler is passed over.
+  // The incarnation of a scheduler to avoid, and until when.
   struct avoided_run {
     std::int64_t incarnation = 0;
     base::time_point until;
@@ -133,9 +138,9 @@
   fallback_router router_;
   request_quarantine quarantine_;
   std::mt19937_64 random_{std::random_device{}()};
-  // Schedulers that could not be reached.
+  // Unreachable schedulers.
   std::map<base::endpoint, avoided_run> avoided_;
-  // Load of each cell from its newest answer, and when that came.
+  // Load that a cell's scheduler reported in its last reply, and when.
   struct reported_load {
     wire::cell_load load;
     base::time_point at;
--- a/src/gateway/process/request_journal.h
+++ b/src/gateway/process/request_journal.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The last things that happened to requests, for `valeledgectl why`.
+// Recent events of requests, for `valeledgectl why`.
 #ifndef VALELEDGE_GATEWAY_PROCESS_REQUEST_JOURNAL_H_
 #define VALELEDGE_GATEWAY_PROCESS_REQUEST_JOURNAL_H_
 
@@ -12,7 +12,7 @@
 
 namespace valeledge::gateway {
 
-// One thing that happened to a request.
+// An event of a request.
 struct journal_entry {
   std::string request;
   std::string partner;
@@ -20,22 +20,22 @@
   // "granted", "attempt failed", "refused", "completed", "replayed".
   std::string event;
   std::string server;
-  // Numbered result code; 0 for none.
+  // Number of the result code; 0 for none.
   int code = 0;
   std::string detail;
-  // Set when the entry is kept.
+  // Set by request_journal::Add.
   std::string time;
 };
 
-// Entries that one gateway remembers.
+// Maximum number of entries per gateway.
 inline constexpr std::size_t kMaxJournalEntries = 4096;
 
-// Safe from any thread.
+// Thread-safe.
 class request_journal {
  public:
   void Add(journal_entry entry);
 
-  // All entries, oldest first.
+  // Returns all entries, oldest first.
   boost::json::array Render() const;
 
  private:
--- a/src/gateway/process/request_quarantine.h
+++ b/src/gateway/process/request_quarantine.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: MIT
-// Which requests backend servers end under, shared by all gateways.
+// Quarantine of requests during which backend servers crash, shared by all
+// gateways.
 //
-// Each gateway repeats what it has seen lately as a soft record, which all
-// processes keep for those that start later. So it holds for all cells, and
-// also while no scheduler can be asked.
+// Each gateway publishes its recent observations as a soft-state record, which
+// processes that start later receive as well. The quarantine therefore covers
+// all cells, and works while no scheduler is reachable.
 #ifndef VALELEDGE_GATEWAY_PROCESS_REQUEST_QUARANTINE_H_
 #define VALELEDGE_GATEWAY_PROCESS_REQUEST_QUARANTINE_H_
 
@@ -20,34 +21,34 @@
 
 namespace valeledge::gateway {
 
-// Lives on the peers' thread of the node.
+// All functions run on the node's peer thread.
 class request_quarantine {
  public:
   explicit request_quarantine(node::node& node) : node_(node) {}
 
-  // For how much longer a request is held back, by what all gateways have
-  // told; nothing if it is not.
+  // Returns the remaining quarantine of a request according to the records of
+  // all gateways; nullopt if it is not quarantined.
   std::optional<std::chrono::milliseconds> RemainingQuarantine(
       std::uint64_t digest);
 
-  // A server has ended while a request of this gateway was there, `took` after
-  // it had been sent.
+  // Records that a server crashed while it processed a request of this gateway,
+  // `took` after the grant.
   void RecordCrash(std::uint64_t digest,
                    std::string_view server,
                    std::chrono::microseconds took);
-  // A server has answered a request of this gateway whole.
+  // Records that a server completed the response to a request of this gateway.
   void RecordCompletion(std::uint64_t digest);
 
  private:
-  // Takes in what others have told since the last call.
+  // Applies the records received from other gateways since the last call.
   void Refresh(base::time_point now);
   void Publish(const decisions::quarantine_fact& fact);
 
   node::node& node_;
   decisions::quarantine known_;
-  // What this gateway has seen lately.
+  // Recent observations of this gateway.
   decisions::quarantine_facts observed_;
-  // The newest record of each gateway that was taken in.
+  // Stamp of the newest applied record of each gateway.
   std::map<std::string, std::int64_t, std::less<>> applied_stamps_;
 };
 
--- a/src/gateway/process/retry_budgets.h
+++ b/src/gateway/process/retry_budgets.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Retry budgets of the process, one for each partner and model.
+// Retry budgets of the process, one per partner and unit.
 #ifndef VALELEDGE_GATEWAY_PROCESS_RETRY_BUDGETS_H_
 #define VALELEDGE_GATEWAY_PROCESS_RETRY_BUDGETS_H_
 
@@ -11,13 +11,14 @@
 
 namespace valeledge::gateway {
 
-// Safe from any thread.
+// Thread-safe.
 class retry_budgets {
  public:
-  // Counts a request.
+  // Counts a request, which adds to the budget.
   void RecordRequest(const std::string& partner, const std::string& unit);
 
-  // Decides after a failed attempt and takes from the budget.
+  // Decides on a retry after a failed attempt; a retry is charged to the
+  // budget.
   decisions::retry_verdict Decide(const std::string& partner,
                                   const std::string& unit,
                                   const decisions::failed_attempt& failed);
--- a/src/gateway/request/attempt.cc
+++ b/src/gateway/request/attempt.cc
@@ -33,7 +33,7 @@
     case decisions::chunk_fault::kAfterEnd:
       return "a chunk after the end";
   }
-  return "a broken chunk";
+  return "an invalid chunk";
 }
 
 net::http_request BuildRequest(const chat_request& request,
@@ -53,7 +53,7 @@
   return out;
 }
 
-// The state of reading one attempt's response.
+// State while reading the response of an attempt.
 struct response_reader {
   decisions::answer_progress progress;
   event_reader events;
@@ -65,8 +65,9 @@
                                                  const std::string& data) {
   auto chunk = ParseChunk(data);
   if (!chunk) {
-    return base::Unknown(result_code::kAnswerBroken,
-                         "the backend server sent what is not a chunk");
+    return base::Unknown(
+        result_code::kAnswerBroken,
+        "the backend server sent an event that is not a valid chunk");
   }
   const auto fault = decisions::AcceptChunk(reader.progress, *chunk);
   if (fault) {
@@ -77,7 +78,7 @@
   return std::move(*chunk);
 }
 
-// Passes on every whole event that has come; an error ends the attempt.
+// Forwards all complete events received so far; an error ends the attempt.
 asio::awaitable<base::result<void>> ForwardEvents(response_reader& reader,
                                                   partial_response& response,
                                                   const chunk_sink& sink) {
@@ -95,7 +96,8 @@
     const bool taken = co_await sink(*chunk);
     if (!taken) {
       reader.caller_gone = true;
-      co_return base::Unknown(result_code::kCallerGone, "the caller is gone");
+      co_return base::Unknown(result_code::kCallerGone,
+                              "the caller has disconnected");
     }
   }
   if (reader.events.IsOverlong()) {
@@ -126,10 +128,11 @@
       co_return forwarded;
   }
   if (!reader.end_seen || !reader.progress.finished) {
-    co_return base::Unknown(result_code::kAnswerBroken,
-                            "the answer ended without its end marker");
+    co_return base::Unknown(
+        result_code::kAnswerBroken,
+        "the response of the backend server ended without its end marker");
   }
-  // The transport's own end follows, so that the connection can be kept.
+  // Reads the end of the HTTP body, so that the connection can be reused.
   const auto rest =
       co_await context.open->ReadSome(context.settings.stall_timeout);
   if (rest && !rest->empty())
@@ -192,7 +195,8 @@
     out.result = tl::make_unexpected(base::error{
         refused ? result_code::kBackendRefused : result_code::kOutcomeUnknown,
         out.report.what_ran,
-        "the backend server answered " + std::to_string(status), std::nullopt});
+        "the backend server responded with status " + std::to_string(status),
+        std::nullopt});
     (*opened)->Abandon();
     context.open.reset();
     co_return out;
--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One attempt at one backend server.
+// A single attempt at a backend server.
 #ifndef VALELEDGE_GATEWAY_REQUEST_ATTEMPT_H_
 #define VALELEDGE_GATEWAY_REQUEST_ATTEMPT_H_
 
@@ -19,28 +19,29 @@
 
 namespace valeledge::gateway {
 
-// Takes one checked chunk; false if the caller is gone.
+// Receives a validated chunk; returns false if the caller has disconnected.
 using chunk_sink =
     std::function<boost::asio::awaitable<bool>(const decisions::answer_chunk&)>;
 
-// The part of a response that earlier attempts have passed on.
+// The part of a response that has been forwarded to the caller.
 struct partial_response {
   std::int64_t tokens = 0;
   std::string text;
   std::string finish_reason;
 };
 
-// What one attempt needs beside its request.
+// Dependencies of an attempt.
 struct attempt_context {
   const gateway_settings& settings;
   net::http_client& http;
   const grant& issued;
-  // Set while an exchange is open, so that the caller's going away can end it.
+  // Set while an exchange is open, so that it can be aborted when the caller
+  // disconnects.
   std::shared_ptr<net::http_exchange>& open;
 };
 
-// How an attempt ended: the error is that of the attempt, not yet the
-// request's.
+// Outcome of an attempt. The error is that of the attempt; the request may
+// still succeed.
 struct attempt_outcome {
   base::result<void> result;
   attempt_result report;
--- a/src/gateway/request/attempt_loop.h
+++ b/src/gateway/request/attempt_loop.h
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Attempts at one request, one after the other, until one ends well or no
-// other may follow.
+// Sequential attempts at a request until one succeeds or no retry is allowed.
 #ifndef VALELEDGE_GATEWAY_REQUEST_ATTEMPT_LOOP_H_
 #define VALELEDGE_GATEWAY_REQUEST_ATTEMPT_LOOP_H_
 
@@ -15,16 +14,16 @@
 
 namespace valeledge::gateway {
 
-// Decides after a failed attempt, counts the decision, and pauses before
-// another attempt.
+// Decides whether a failed attempt is retried, records the decision in the
+// metrics, and waits for the backoff delay before a retry.
 boost::asio::awaitable<bool> MayRetry(caller_frontend& frontend,
                                       const request_common& common,
                                       base::error failed,
                                       bool idempotent,
                                       std::int64_t attempts_made);
 
-// Runs `attempt` until it gives a value or `may_retry` says no. The error's
-// outcome is unknown as soon as one attempt's was.
+// Runs `attempt` until it returns a value or `may_retry` returns false. If the
+// outcome of any failed attempt is unknown, that of the returned error is.
 template <typename value_type>
 boost::asio::awaitable<base::result<value_type>> RunAttempts(
     std::function<boost::asio::awaitable<base::result<value_type>>()> attempt,
--- a/src/gateway/request/chat_exchange.cc
+++ b/src/gateway/request/chat_exchange.cc
@@ -24,7 +24,7 @@
 
 constexpr std::string_view kCategory = "chat";
 
-// One request for a completion, from its first attempt to its last.
+// Serves one chat completion request with all its attempts.
 class chat_exchange {
  public:
   chat_exchange(caller_frontend& frontend,
@@ -49,7 +49,7 @@
   net::http_responder& responder_;
   partial_response response_;
   std::vector<std::string> avoid_;
-  // Whether the last attempt got as far as a backend server.
+  // Whether a grant was issued for the last attempt.
   bool granted_ = false;
   bool streaming_ = false;
   // The backend server of the last attempt.
@@ -131,7 +131,8 @@
   attempt_outcome end;
   if (responder_.caller_gone()) {
     end.report.what_ran = base::outcome::kNotRun;
-    end.result = base::NotRun(result_code::kCallerGone, "the caller is gone");
+    end.result =
+        base::NotRun(result_code::kCallerGone, "the caller has disconnected");
   } else {
     const chunk_sink sink = [this](const decisions::answer_chunk& chunk) {
       return HandleChunk(chunk);
@@ -184,8 +185,9 @@
     co_await responder_.Send(ErrorResponse(failed, request_.common.id));
     co_return;
   }
-  // The stream has begun: the error is its last event, and the connection
-  // closes without the transport's end, so that nothing looks whole.
+  // The stream has started: the error is sent as the last event, and the
+  // connection is closed without terminating the HTTP body, so that the caller
+  // cannot mistake the response for a complete one.
   co_await responder_.Write(
       FormatEvent(RenderError(failed, request_.common.id)));
   responder_.Break();
--- a/src/gateway/request/chat_exchange.h
+++ b/src/gateway/request/chat_exchange.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Serves one request for a completion: attempts until one is whole or the
-// request is given up on.
+// Serves a chat completion request: makes attempts until one completes or no
+// further attempt is allowed.
 #ifndef VALELEDGE_GATEWAY_REQUEST_CHAT_EXCHANGE_H_
 #define VALELEDGE_GATEWAY_REQUEST_CHAT_EXCHANGE_H_
 
--- a/src/gateway/request/chat_request.cc
+++ b/src/gateway/request/chat_request.cc
@@ -26,11 +26,11 @@
       table::NearNames(table, table::row_kind::kAdapter, name);
   similar.insert(similar.end(), adapters.begin(), adapters.end());
   for (std::size_t i = 0; i < similar.size(); ++i)
-    message.append(i == 0 ? "; near names: " : ", ").append(similar[i]);
+    message.append(i == 0 ? "; similar names: " : ", ").append(similar[i]);
   return message;
 }
 
-// The text by which two conversations count as having the same prefix.
+// Returns the text that is hashed to detect conversations with a common prefix.
 std::string PrefixOf(const json::array& messages) {
   std::string text;
   for (const json::value& each : messages) {
@@ -88,7 +88,8 @@
       return base::NotRun(result_code::kBadRequest,
                           "Valeledge-Priority is not a digit from 0 to 9");
     }
-    // A caller may lower its own priority, never raise it above the row's.
+    // Callers can lower the priority, but not raise it above that of the row;
+    // smaller numbers are higher priorities.
     common.priority = std::max(common.priority, text[0] - '0');
   }
   return common;
--- a/src/gateway/request/chat_request.h
+++ b/src/gateway/request/chat_request.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A caller's chat request, checked.
+// Parsing and validation of callers' chat requests.
 #ifndef VALELEDGE_GATEWAY_REQUEST_CHAT_REQUEST_H_
 #define VALELEDGE_GATEWAY_REQUEST_CHAT_REQUEST_H_
 
@@ -16,43 +16,44 @@
 
 namespace valeledge::gateway {
 
-// What both kinds of requests share.
+// Properties that chat and service requests have in common.
 struct request_common {
   std::string id;
   std::string partner;
-  // What is to be served: "model/NAME", "adapter/NAME", "service/NAME".
+  // The requested unit: "model/NAME", "adapter/NAME" or "service/NAME".
   std::string unit;
-  // The name that logs and limits use.
+  // Name of the model or service in logs and for limits.
   std::string model;
-  // The same each time the partner submits the same request.
+  // Hash of partner, target and body: equal for repeated submissions of the
+  // same request.
   std::uint64_t digest = 0;
   std::int32_t priority = 5;
   std::chrono::steady_clock::time_point started;
   std::chrono::steady_clock::time_point deadline;
-  // How long a grant may take and still be of use.
+  // Maximum wait for a grant, after which it is of no use.
   std::chrono::microseconds grant_timeout{0};
 };
 
-// Time left until the deadline.
+// Returns the time until the deadline; negative after it.
 std::chrono::microseconds Remaining(const request_common& common);
 
-// Reads the header fields that both kinds share.
+// Parses the header fields that both kinds of requests have in common.
 base::result<request_common> ReadCommon(const net::http_request& request,
                                         const gateway_settings& settings,
                                         const table::row& row);
 
-// A request for a completion.
+// A chat completion request.
 struct chat_request {
   request_common common;
   bool stream = false;
   std::int32_t max_tokens = 0;
   std::int64_t prefix_hash = 0;
-  // What goes on to the backend server, without what an attempt adds.
+  // Body for the backend server, without the fields that an attempt adds.
   boost::json::object body;
 };
 
-// Checks a request against the table; an unknown model's error names models
-// with similar names.
+// Validates a request against the table. The error for an unknown model lists
+// models and adapters with similar names.
 base::result<chat_request> ParseChatRequest(const net::http_request& request,
                                             const gateway_settings& settings,
                                             const table::snapshot& table);
--- a/src/gateway/request/event_reader.h
+++ b/src/gateway/request/event_reader.h
@@ -11,19 +11,19 @@
 
 namespace valeledge::gateway {
 
-// Largest event that is kept while its end has not come.
+// Maximum size in bytes of an incomplete event.
 inline constexpr std::size_t kMaxEventBytes = 1024 * 1024;
 
-// Collects pieces of a stream. Comments and fields other than data are
-// skipped.
+// Incremental parser of a stream. Comments and fields other than data are
+// ignored.
 class event_reader {
  public:
   void Append(std::string_view piece);
 
-  // The data of the next whole event; nothing if none is whole yet.
+  // Returns the data of the next complete event; nullopt if there is none yet.
   std::optional<std::string> Next();
 
-  // An event grew beyond kMaxEventBytes.
+  // True if the incomplete event is larger than kMaxEventBytes.
   bool IsOverlong() const;
 
  private:
@@ -31,7 +31,7 @@
   std::size_t start_ = 0;
 };
 
-// The chunk in an event's data; nothing if it is not a chunk.
+// Parses the data of an event as a chunk; nullopt if it is not a chunk.
 std::optional<decisions::answer_chunk> ParseChunk(std::string_view data);
 
 }  // namespace valeledge::gateway
--- a/src/gateway/request/request_reporting.h
+++ b/src/gateway/request/request_reporting.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Tells the log, the journal and the counters what happened to a request.
+// Records events of requests in the log, the journal and the metrics.
 #ifndef VALELEDGE_GATEWAY_REQUEST_REQUEST_REPORTING_H_
 #define VALELEDGE_GATEWAY_REQUEST_REQUEST_REPORTING_H_
 
@@ -12,20 +12,20 @@
 
 namespace valeledge::gateway {
 
-// An attempt at a backend server failed.
+// Reports a failed attempt at a backend server.
 void ReportAttemptFailed(caller_frontend& frontend,
                          std::string_view category,
                          const request_common& common,
                          const grant& issued,
                          const base::error& failed);
 
-// The request is given up on.
+// Reports the final failure of a request.
 void ReportRefused(caller_frontend& frontend,
                    std::string_view category,
                    const request_common& common,
                    const base::error& failed);
 
-// The request has its whole answer; `event` is "completed" or "replayed".
+// Reports a complete response; `event` is "completed" or "replayed".
 void ReportCompleted(caller_frontend& frontend,
                      const request_common& common,
                      const std::string& event,
--- a/src/gateway/request/responses.h
+++ b/src/gateway/request/responses.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What callers get: errors with code, outcome and when to come back, and the
-// chunks of a streamed completion.
+// Responses to callers: errors with code, outcome and retry-after delay, and
+// completions, whole or as a stream of chunks.
 #ifndef VALELEDGE_GATEWAY_REQUEST_RESPONSES_H_
 #define VALELEDGE_GATEWAY_REQUEST_RESPONSES_H_
 
@@ -12,24 +12,25 @@
 
 namespace valeledge::gateway {
 
-// The JSON object of an error: numbered code, its name, what happened, what a
-// person can do, the outcome, the request id.
+// Renders an error as JSON with its numeric code, name, message, advice,
+// outcome, request id and, if it is known, retry-after delay.
 std::string RenderError(const base::error& failed, std::string_view request_id);
 
-// A whole error answer with Retry-After, Valeledge-Outcome, Valeledge-Reason.
+// Returns an error response with the header fields Retry-After,
+// Valeledge-Outcome and Valeledge-Reason.
 net::http_response ErrorResponse(const base::error& failed,
                                  std::string_view request_id);
 
-// One server-sent event that holds `data`.
+// Formats `data` as a server-sent event.
 std::string FormatEvent(std::string_view data);
 
-// The JSON of one chunk of a streamed completion.
+// Renders a chunk of a streamed completion as JSON.
 std::string RenderChunk(std::string_view request_id,
                         std::string_view model,
                         std::string_view text,
                         std::string_view finish_reason);
 
-// The JSON of a whole completion.
+// Renders a complete, non-streamed completion as JSON.
 std::string RenderCompletion(std::string_view request_id,
                              std::string_view model,
                              std::string_view text,
--- a/src/gateway/request/service_exchange.cc
+++ b/src/gateway/request/service_exchange.cc
@@ -25,14 +25,14 @@
 
 constexpr std::string_view kCategory = "service";
 
-// A call of a plain service, checked.
+// A validated call of a plain service.
 struct service_request {
   request_common common;
   bool idempotent = true;
-  // A refusal of the service says that the call did not run.
+  // A refusal by the service guarantees that the call did not run.
   bool refusal_not_run = false;
   std::string key;
-  // Tells two requests under one key apart.
+  // Distinguishes different requests with the same idempotency key.
   std::string digest;
   http::verb method = http::verb::get;
   std::string target;
@@ -61,7 +61,7 @@
     const auto similar =
         table::NearNames(table, table::row_kind::kService, name);
     for (std::size_t i = 0; i < similar.size(); ++i)
-      message.append(i == 0 ? "; near names: " : ", ").append(similar[i]);
+      message.append(i == 0 ? "; similar names: " : ", ").append(similar[i]);
     return base::NotRun(result_code::kUnknownService, std::move(message));
   }
   auto common = ReadCommon(request, settings, *row);
@@ -91,7 +91,7 @@
   return call;
 }
 
-// One call from its first attempt to its last.
+// Serves one call with all its attempts.
 class service_exchange {
  public:
   service_exchange(caller_frontend& frontend,
@@ -114,7 +114,7 @@
   net::http_responder& responder_;
   std::vector<std::string> avoid_;
   std::optional<grant> granted_;
-  // The grant with which the claim was made; kept across attempts.
+  // The grant with which the claim was created; kept across attempts.
   std::optional<grant> claimed_;
   bool replayed_ = false;
 };
@@ -146,8 +146,8 @@
   request.set(kAttemptField, issued.attempt_id);
   if (!call_.key.empty())
     request.set(kKeyField, call_.key);
-  // A pooled connection may have been closed by the other side, which would
-  // leave the outcome of a call that may not be repeated unknown.
+  // The server may have closed a pooled connection in the meantime, which would
+  // leave the outcome of a call that must not be repeated unknown.
   const auto use = call_.idempotent ? net::connection_use::kPooled
                                     : net::connection_use::kFresh;
   const auto timeout = Remaining(call_.common);
@@ -159,10 +159,11 @@
   net::http_response response((*opened)->header());
   if (IsRefusal(response.result_int())) {
     (*opened)->Abandon();
-    const std::string message =
-        "the backend server answered " + std::to_string(response.result_int());
-    // Sending it again is safe for the one, certain not to repeat for the
-    // other; without either it may have run.
+    const std::string message = "the backend server responded with status " +
+                                std::to_string(response.result_int());
+    // An idempotent call can be sent again in any case; a service whose
+    // refusals guarantee that the call did not run allows it as well. Otherwise
+    // the call may have run.
     if (call_.idempotent || call_.refusal_not_run)
       co_return base::NotRun(result_code::kBackendRefused, message);
     co_return base::Unknown(result_code::kOutcomeUnknown, message);
@@ -175,8 +176,9 @@
       break;
     response.body().append(*piece);
     if (response.body().size() > net::kMaxAnswerBytes) {
-      co_return base::Unknown(result_code::kAnswerBroken,
-                              "the answer is too large");
+      co_return base::Unknown(
+          result_code::kAnswerBroken,
+          "the response of the backend server is too large");
     }
   }
   co_return response;
--- a/src/gateway/request/service_exchange.h
+++ b/src/gateway/request/service_exchange.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Serves one call of a plain service; calls that may not be repeated run at
-// most once.
+// Serves a call of a plain service. Calls that are not idempotent run at most
+// once.
 #ifndef VALELEDGE_GATEWAY_REQUEST_SERVICE_EXCHANGE_H_
 #define VALELEDGE_GATEWAY_REQUEST_SERVICE_EXCHANGE_H_
 
--- a/tests/auto/gateway/test_requests.cc
+++ b/tests/auto/gateway/test_requests.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What a gateway makes of callers' requests and of engines' streams.
+// Parsing of callers' requests and of engines' event streams, and rendering of
+// errors.
 #include <rapidcheck.h>
 
 #include <boost/test/unit_test.hpp>
@@ -92,7 +93,7 @@
   BOOST_TEST(!Parse(kGood, "Valeledge-Deadline", "0s").has_value());
   BOOST_TEST(!Parse(kGood, "Valeledge-Priority", "12").has_value());
   BOOST_TEST(Parse(kGood, "Valeledge-Priority", "9")->common.priority == 9);
-  // Nobody can go before what the row allows.
+  // Callers cannot raise the priority above that of the row.
   BOOST_TEST(Parse(kGood, "Valeledge-Priority", "0")->common.priority == 3);
 }
 
