--- a/src/gateway/process/grant_client.cc
+++ b/src/gateway/process/grant_client.cc
@@ -221,17 +221,18 @@
 
 asio::awaitable<base::result<grant>> grant_client::RequestGrant(
     scheduling_request request) {
-  if (const auto held = quarantine_.RemainingQuarantine(request.digest)) {
+  if (const auto remaining = quarantine_.RemainingQuarantine(request.digest)) {
     auto refusal =
         base::MakeError(result_code::kHeldBack, base::outcome::kNotRun,
                         "the request is quarantined: backend servers crashed "
                         "while processing it");
-    refusal.retry_after = *held;
+    refusal.retry_after = *remaining;
     co_return tl::make_unexpected(std::move(refusal));
   }
   const decisions::unit_hash unit = decisions::HashUnit(request.unit);
-  const bool alone = routing_ != "scheduler" && request.idempotency_key.empty();
-  if (alone)
+  const bool without_scheduler =
+      routing_ != "scheduler" && request.idempotency_key.empty();
+  if (without_scheduler)
     co_return ChooseWithoutScheduler(request, routing_);
   std::set<std::string> refused_cells;
   std::optional<base::error> refusal;
@@ -280,7 +281,7 @@
                               const attempt_result& result) {
   in_flight_.erase(issued.attempt_id);
   if (result.server_crashed)
-    quarantine_.RecordCrash(issued.digest, issued.server, result.took);
+    quarantine_.RecordCrash(issued.digest, issued.server, result.elapsed);
   else if (result.succeeded)
     quarantine_.RecordCompletion(issued.digest);
   if (!issued.scheduler) {
--- a/src/gateway/process/grant_client.h
+++ b/src/gateway/process/grant_client.h
@@ -74,7 +74,7 @@
   // The response is complete and does not report a server failure.
   bool succeeded = false;
   // Time from the grant to the end of the attempt.
-  std::chrono::microseconds took{0};
+  std::chrono::microseconds elapsed{0};
   bool draining = false;
   std::int32_t tokens = 0;
   std::chrono::microseconds first_token{0};
--- a/src/gateway/process/request_quarantine.cc
+++ b/src/gateway/process/request_quarantine.cc
@@ -31,10 +31,10 @@
 
 void request_quarantine::RecordCrash(std::uint64_t digest,
                                      std::string_view server,
-                                     microseconds took) {
+                                     microseconds elapsed) {
   const auto now = std::chrono::steady_clock::now();
   const auto hash = static_cast<std::int32_t>(base::StableHash(server));
-  const decisions::server_end end{hash, now - took, now};
+  const decisions::server_end end{hash, now - elapsed, now};
   Publish({digest, end, now});
   if (decisions::NoteEnd(known_, digest, end, now))
     LogQuarantined(digest);
--- a/src/gateway/process/request_quarantine.h
+++ b/src/gateway/process/request_quarantine.h
@@ -32,10 +32,10 @@
       std::uint64_t digest);
 
   // Records that a server crashed while it processed a request of this gateway,
-  // `took` after the grant.
+  // `elapsed` after the grant.
   void RecordCrash(std::uint64_t digest,
                    std::string_view server,
-                   std::chrono::microseconds took);
+                   std::chrono::microseconds elapsed);
   // Records that a server completed the response to a request of this gateway.
   void RecordCompletion(std::uint64_t digest);
 
--- a/src/gateway/request/attempt_loop.h
+++ b/src/gateway/request/attempt_loop.h
@@ -31,12 +31,12 @@
                                                std::int64_t attempts_made)>
         may_retry) {
   bool unknown_before = false;
-  for (std::int64_t made = 1;; ++made) {
+  for (std::int64_t attempt_number = 1;; ++attempt_number) {
     auto result = co_await attempt();
     if (result)
       co_return result;
     base::error failed = result.error();
-    const bool retry = co_await may_retry(failed, made);
+    const bool retry = co_await may_retry(failed, attempt_number);
     if (!retry) {
       if (unknown_before)
         failed.what_ran = base::outcome::kUnknown;
--- a/src/gateway/request/chat_exchange.cc
+++ b/src/gateway/request/chat_exchange.cc
@@ -141,7 +141,7 @@
         request_, {frontend_.settings(), frontend_.http(), *issued, open_},
         response_, sink);
   }
-  end.report.took = std::chrono::duration_cast<std::chrono::microseconds>(
+  end.report.elapsed = std::chrono::duration_cast<std::chrono::microseconds>(
       std::chrono::steady_clock::now() - granted_at);
   shared.node.peers().Submit([&shared, issued = *issued, report = end.report] {
     shared.grants.EndAttempt(issued, report);
@@ -203,11 +203,11 @@
   const auto last = co_await RunAttempts<void>(
       [this] { return Attempt(); },
       [this](const base::error& failed,
-             std::int64_t made) -> asio::awaitable<bool> {
+             std::int64_t attempts_made) -> asio::awaitable<bool> {
         if (!granted_ || responder_.caller_gone())
           co_return false;
         co_return co_await MayRetry(frontend_, request_.common, failed, true,
-                                    made);
+                                    attempts_made);
       });
   if (last)
     co_await Complete();
--- a/src/gateway/request/service_exchange.cc
+++ b/src/gateway/request/service_exchange.cc
@@ -192,15 +192,16 @@
   update.claim_revision = claimed_->claim_revision;
   update.digest = call_.digest;
   gateway_shared& shared = frontend_.shared();
-  auto tell =
+  auto send_update =
       [&shared, update = std::move(update),
        scheduler =
            claimed_->scheduler]() -> asio::awaitable<base::result<bool>> {
-    const auto report = co_await shared.grants.UpdateClaim(update, scheduler);
-    co_return report.has_value();
+    const auto updated = co_await shared.grants.UpdateClaim(update, scheduler);
+    co_return updated.has_value();
   };
-  const auto report = co_await frontend_.RunOnPeerThread<bool>(std::move(tell));
-  if (!report || !*report)
+  const auto updated =
+      co_await frontend_.RunOnPeerThread<bool>(std::move(send_update));
+  if (!updated || !*updated)
     frontend_.metrics().Counter("valeledge_claims_not_updated_total").Add();
 }
 
@@ -236,7 +237,7 @@
   const auto granted_at = std::chrono::steady_clock::now();
   auto response = co_await Send(*issued);
   attempt_result report;
-  report.took = std::chrono::duration_cast<std::chrono::microseconds>(
+  report.elapsed = std::chrono::duration_cast<std::chrono::microseconds>(
       std::chrono::steady_clock::now() - granted_at);
   report.tokens = 1;
   if (response) {
@@ -280,11 +281,11 @@
         return Attempt();
       },
       [this](const base::error& failed,
-             std::int64_t made) -> asio::awaitable<bool> {
+             std::int64_t attempts_made) -> asio::awaitable<bool> {
         if (!granted_)
           co_return false;
         co_return co_await MayRetry(frontend_, call_.common, failed,
-                                    call_.idempotent, made);
+                                    call_.idempotent, attempts_made);
       });
   if (replayed_)
     co_return;
--- a/tests/auto/gateway/test_requests.cc
+++ b/tests/auto/gateway/test_requests.cc
@@ -103,7 +103,7 @@
       "data: lines\r\n\r\ndata:[DONE]\n\n";
   const std::vector<std::string> whole = {"{\"a\":1}", "two\nlines", "[DONE]"};
   BOOST_TEST(ReadEvents({stream}) == whole, boost::test_tools::per_element());
-  const bool held = rc::check("cuts", [&] {
+  const bool passed = rc::check("cuts", [&] {
     const auto first_split =
         *rc::gen::inRange<std::size_t>(0, stream.size() + 1);
     const auto second_split =
@@ -113,7 +113,7 @@
                     stream.substr(first_split, second_split - first_split),
                     stream.substr(second_split)}) == whole);
   });
-  BOOST_TEST(held);
+  BOOST_TEST(passed);
 }
 
 BOOST_AUTO_TEST_CASE(an_overlong_event_is_detected) {
@@ -131,9 +131,9 @@
   BOOST_TEST(chunk->offset == 3);
   BOOST_TEST(chunk->finish_reason == "stop");
   BOOST_TEST(!ParseChunk("{}").has_value());
-  const bool held = rc::check(
+  const bool passed = rc::check(
       "chunks", [] { ParseChunk(*rc::gen::arbitrary<std::string>()); });
-  BOOST_TEST(held);
+  BOOST_TEST(passed);
 }
 
 BOOST_AUTO_TEST_CASE(error_responses_contain_code_outcome_and_retry_after) {
--- a/tests/auto/membership/test_merge.cc
+++ b/tests/auto/membership/test_merge.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(the_order_of_reports_does_not_matter) {
-  const bool held = rc::check("order", [] {
+  const bool passed = rc::check("order", [] {
     const auto reports = *rc::gen::nonEmpty(
         rc::gen::container<std::vector<member>>(AnyMember()));
     auto reversed = reports;
@@ -46,11 +46,11 @@
     RC_ASSERT(MergeAll(reports) == MergeAll(reversed));
     RC_ASSERT(MergeAll(reports) == MergeAll(doubled));
   });
-  BOOST_TEST(held);
+  BOOST_TEST(passed);
 }
 
 BOOST_AUTO_TEST_CASE(leaving_is_irrevocable_within_an_incarnation) {
-  const bool held = rc::check("leaving", [] {
+  const bool passed = rc::check("leaving", [] {
     member known = *AnyMember();
     known.leaving = true;
     member received = *AnyMember();
@@ -58,11 +58,11 @@
     Merge(known, received);
     RC_ASSERT(known.leaving);
   });
-  BOOST_TEST(held);
+  BOOST_TEST(passed);
 }
 
 BOOST_AUTO_TEST_CASE(the_newest_record_wins_in_any_order) {
-  const bool held = rc::check("records", [] {
+  const bool passed = rc::check("records", [] {
     const auto stamps = *rc::gen::nonEmpty(
         rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5)));
     soft_state forward;
@@ -80,5 +80,5 @@
       Merge(backward, record(stamps[i - 1], i - 1));
     RC_ASSERT(forward.records.at("k") == backward.records.at("k"));
   });
-  BOOST_TEST(held);
+  BOOST_TEST(passed);
 }
