--- a/src/gateway/request/attempt.h
+++ b/src/gateway/request/attempt.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One attempt at one backend server.
+// A single attempt at a backend server.
 #ifndef VALELEDGE_GATEWAY_REQUEST_ATTEMPT_H_
 #define VALELEDGE_GATEWAY_REQUEST_ATTEMPT_H_
 
@@ -19,42 +19,44 @@
 
 namespace valeledge::gateway {
 
-// Takes one checked chunk; false if the caller is gone.
+// Receives a validated chunk; returns false if the caller has disconnected.
 using chunk_sink = std::function<boost::asio::awaitable<bool>(
     const decisions::response_chunk&)>;
 
-// The part of an answer that earlier attempts have passed on.
-struct answer_so_far {
+// The part of a response that has been forwarded to the caller.
+struct partial_response {
   std::int64_t tokens = 0;
   std::string text;
   std::string finish_reason;
 };
 
-// What one attempt needs beside its request.
-struct attempt_frame {
+// Dependencies of an attempt.
+struct attempt_context {
   const gateway_settings& settings;
   net::http_client& http;
-  const grant& given;
-  // Set while an exchange is open, so that the caller's going away can end it.
+  const grant& issued;
+  // Set while an exchange is open, so that it can be aborted when the caller
+  // disconnects.
   std::shared_ptr<net::http_exchange>& open;
 };
 
-// How an attempt ended: the error is that of the attempt, not yet the
-// request's.
-struct attempt_end {
-  base::result<void> ended;
-  attempt_result told;
+// Outcome of an attempt. The error is that of the attempt; the request may
+// still succeed.
+struct attempt_outcome {
+  base::result<void> result;
+  attempt_result report;
 };
 
-// Sends the request, resuming after what `answer` holds, and passes each chunk
-// of its own answer on, in order and whole. Ends well only if the answer's end
-// marker came.
-boost::asio::awaitable<attempt_end> RunChatAttempt(const chat_request& request,
-                                                   attempt_frame frame,
-                                                   answer_so_far& answer,
-                                                   const chunk_sink& sink);
+// Sends the request, resuming after what `response` holds, and passes each
+// chunk of its own response on, in order and whole. Ends well only if the
+// response's end marker came.
+boost::asio::awaitable<attempt_outcome> RunChatAttempt(
+    const chat_request& request,
+    attempt_context context,
+    partial_response& response,
+    const chunk_sink& sink);
 
-// True for an answer by which a backend server says that it did not run the
+// True for a response by which a backend server says that it did not run the
 // request: 429 or 503.
 bool IsRefusal(unsigned status);
 
--- a/src/gateway/request/attempt_loop.h
+++ b/src/gateway/request/attempt_loop.h
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Attempts at one request, one after the other, until one ends well or no
-// other may follow.
+// Sequential attempts at a request until one succeeds or no retry is allowed.
 #ifndef VALELEDGE_GATEWAY_REQUEST_ATTEMPT_LOOP_H_
 #define VALELEDGE_GATEWAY_REQUEST_ATTEMPT_LOOP_H_
 
@@ -10,35 +9,35 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "base/error.h"
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 #include "gateway/request/chat_request.h"
 
 namespace valeledge::gateway {
 
-// Decides after a failed attempt, counts the decision, and pauses before
-// another attempt.
-boost::asio::awaitable<bool> MayTryAgain(caller_front& front,
-                                         const request_frame& frame,
-                                         base::error failed,
-                                         bool idempotent,
-                                         std::int64_t attempts_made);
+// Decides whether a failed attempt is retried, records the decision in the
+// metrics, and waits for the backoff delay before a retry.
+boost::asio::awaitable<bool> MayRetry(caller_frontend& frontend,
+                                      const request_common& common,
+                                      base::error failed,
+                                      bool idempotent,
+                                      std::int64_t attempts_made);
 
-// Runs `attempt` until it gives a value or `again` says no. The error's
-// outcome is unknown as soon as one attempt's was.
+// Runs `attempt` until it returns a value or `may_retry` returns false. If the
+// outcome of any failed attempt is unknown, that of the returned error is.
 template <typename value_type>
-boost::asio::awaitable<base::result<value_type>> RepeatAttempts(
+boost::asio::awaitable<base::result<value_type>> RunAttempts(
     std::function<boost::asio::awaitable<base::result<value_type>>()> attempt,
     std::function<boost::asio::awaitable<bool>(const base::error&,
                                                std::int64_t attempts_made)>
-        again) {
+        may_retry) {
   bool unknown_before = false;
-  for (std::int64_t made = 1;; ++made) {
-    auto ended = co_await attempt();
-    if (ended)
-      co_return ended;
-    base::error failed = ended.error();
-    const bool more = co_await again(failed, made);
-    if (!more) {
+  for (std::int64_t attempt_number = 1;; ++attempt_number) {
+    auto result = co_await attempt();
+    if (result)
+      co_return result;
+    base::error failed = result.error();
+    const bool retry = co_await may_retry(failed, attempt_number);
+    if (!retry) {
       if (unknown_before)
         failed.what_ran = base::outcome::kUnknown;
       co_return tl::make_unexpected(std::move(failed));
--- a/src/gateway/request/chat_exchange.h
+++ b/src/gateway/request/chat_exchange.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: MIT
-// Serves one request for a completion: attempts until one is whole or the
-// request is given up on.
+// Serves a chat completion request: makes attempts until one completes or no
+// further attempt is allowed.
 #ifndef VALELEDGE_GATEWAY_REQUEST_CHAT_EXCHANGE_H_
 #define VALELEDGE_GATEWAY_REQUEST_CHAT_EXCHANGE_H_
 
 #include <boost/asio/awaitable.hpp>
 
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 #include "net/http_server.h"
 
 namespace valeledge::gateway {
 
-boost::asio::awaitable<void> ServeChat(caller_front& front,
+boost::asio::awaitable<void> ServeChat(caller_frontend& frontend,
                                        net::http_request& request,
                                        net::http_responder& responder);
 
--- a/src/gateway/request/service_exchange.h
+++ b/src/gateway/request/service_exchange.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: MIT
-// Serves one call of a plain service; calls that may not be repeated run at
-// most once.
+// Serves a call of a plain service. Calls that are not idempotent run at most
+// once.
 #ifndef VALELEDGE_GATEWAY_REQUEST_SERVICE_EXCHANGE_H_
 #define VALELEDGE_GATEWAY_REQUEST_SERVICE_EXCHANGE_H_
 
 #include <boost/asio/awaitable.hpp>
 
-#include "gateway/process/caller_front.h"
+#include "gateway/process/caller_frontend.h"
 #include "net/http_server.h"
 
 namespace valeledge::gateway {
 
-boost::asio::awaitable<void> ServeService(caller_front& front,
+boost::asio::awaitable<void> ServeService(caller_frontend& frontend,
                                           net::http_request& request,
                                           net::http_responder& responder);
 
--- a/src/host/process/host.cc
+++ b/src/host/process/host.cc
@@ -171,7 +171,8 @@
            },
            [this] {
              return peers_.ChosenAddresses(std::string(kStoreReaderSubject),
-                                           kReaders, membership::kWideLink);
+                                           kReaders,
+                                           membership::kHighBandwidth);
            },
            [this] { return mirror_.revision(); }}),
       owner_services_(core_, peers_),
@@ -420,7 +421,7 @@
 bool host::FollowsStore() {
   return !shutdown_.stopping() &&
          peers_.IsChosen(std::string(kStoreFollowerSubject), kFollowersPerZone,
-                         peer_link::scope::kZone, membership::kWideLink);
+                         peer_link::scope::kZone, membership::kHighBandwidth);
 }
 
 // The hosts chosen for a server receive the load reports of the other hosts for
--- a/src/host/process/owner_services.cc
+++ b/src/host/process/owner_services.cc
@@ -17,7 +17,7 @@
 
 // The owner is called for each request, so a host with a wide link is
 // preferred.
-constexpr std::int32_t kPreferredRoles = membership::kWideLink;
+constexpr std::int32_t kPreferredRoles = membership::kHighBandwidth;
 
 }  // namespace
 
--- a/src/host/process/peer_link.h
+++ b/src/host/process/peer_link.h
@@ -55,7 +55,7 @@
   // Sends a record of this host to the recipients.
   void Send(const std::string& key,
             std::string value,
-            const membership::direct_audience& recipients);
+            const membership::direct_recipients& recipients);
   // Sends a record to all other hosts. In a large fleet it is sent to the hosts
   // of this availability zone and to some relays in each other zone, which
   // forward it. `encode` returns the value for the relays if `hand_on`,
--- a/src/host/process/quarantine_coordinator.h
+++ b/src/host/process/quarantine_coordinator.h
@@ -35,7 +35,7 @@
 struct quarantine_callbacks {
   // Sends an update directly to other hosts.
   std::function<void(const std::string& value,
-                     const membership::direct_audience& recipients)>
+                     const membership::direct_recipients& recipients)>
       send;
   // Whether this host is the first one chosen for a subject.
   std::function<bool(const std::string& subject)> is_first;
--- a/src/membership/gossip_news.cc
+++ b/src/membership/gossip_updates.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "membership/gossip_news.h"
+#include "membership/gossip_updates.h"
 
 #include <algorithm>
 #include <bit>
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Each piece of news is repeated this often per doubling of the fleet.
+// An update is sent this many times per doubling of the number of members.
 constexpr std::int64_t kRepeatsPerDoubling = 2;
 
-// What a record takes in a datagram beside its texts, about.
+// Approximate encoded size in bytes of a record without its strings.
 constexpr std::int64_t kRecordOverhead = 24;
 
 std::int64_t SizeOf(const member& each) {
@@ -43,17 +43,17 @@
   std::erase_if(state.rumors, [&](const rumor& each) {
     return each.key == key && each.is_member == is_member;
   });
-  // Before older ones that were sent as seldom: while hundreds of members are
-  // new to each other, one that leaves would wait behind them all (64 processes
-  // a few seconds after their start knew of it after 3.3 s, and do now within
-  // 2).
+  // Newer updates precede older ones that were sent equally often. Otherwise,
+  // while hundreds of members join, the update of a leaving member would be
+  // queued after all joins: with 64 processes started a few seconds earlier, it
+  // took 3.3 s instead of at most 2 s to reach all.
   state.rumors.insert(state.rumors.begin(), {key, is_member, 0});
 }
 
-void AttachNews(gossip_state& state, wire::gossip_message& message) {
+void AttachUpdates(gossip_state& state, wire::gossip_message& message) {
   std::ranges::stable_sort(state.rumors, {}, &rumor::times_sent);
   const std::int64_t limit = RepeatLimit(state);
-  std::int64_t room = state.settings.news_bytes;
+  std::int64_t remaining_bytes = state.settings.news_bytes;
   for (rumor& each : state.rumors) {
     if (each.is_member) {
       const member* record = FindRecord(state, each.key);
@@ -61,14 +61,14 @@
         each.times_sent = limit;
         continue;
       }
-      room -= SizeOf(*record);
-      if (room < 0)
+      remaining_bytes -= SizeOf(*record);
+      if (remaining_bytes < 0)
         break;
       message.updates.push_back(*record);
     } else {
       const soft_record& record = state.soft.records.at(each.key);
-      room -= SizeOf(record);
-      if (room < 0)
+      remaining_bytes -= SizeOf(record);
+      if (remaining_bytes < 0)
         break;
       message.records.push_back(record);
     }
@@ -78,14 +78,14 @@
                 [&](const rumor& each) { return each.times_sent >= limit; });
 }
 
-std::vector<wire::gossip_message> SplitAll(const gossip_state& state) {
+std::vector<wire::gossip_message> SplitFullState(const gossip_state& state) {
   std::vector<wire::gossip_message> parts;
-  std::int64_t room = 0;
+  std::int64_t remaining_bytes = 0;
   const auto part = [&](std::int64_t size) -> wire::gossip_message& {
-    room -= size;
-    if (parts.empty() || room < 0) {
+    remaining_bytes -= size;
+    if (parts.empty() || remaining_bytes < 0) {
       parts.emplace_back();
-      room = state.settings.news_bytes - size;
+      remaining_bytes = state.settings.news_bytes - size;
     }
     return parts.back();
   };
--- a/tests/auto/host/test_quarantine_coordinator.cc
+++ b/tests/auto/host/test_quarantine_coordinator.cc
@@ -45,7 +45,7 @@
     one_host& added = *hosts_.emplace_back(std::make_unique<one_host>(context));
     host::quarantine_callbacks callbacks;
     callbacks.send = [this, at](const std::string& value,
-                                const membership::direct_audience&) {
+                                const membership::direct_recipients&) {
       Deliver(at, value);
     };
     callbacks.is_first = [this, at](const std::string&) { return at == first; };
