--- a/src/controller/process/controller.cc
+++ b/src/controller/process/controller.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kCandidatesPerZone = 2;
 
 // A status without the reservations is given if they take longer than this.
-constexpr auto kStatusWait = std::chrono::milliseconds(200);
+constexpr auto kStatusTimeout = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -36,12 +36,12 @@
   if (!started)
     return started;
   lease_.emplace(node_.platform().context(), node_.key_value(), node_.id(),
-                 settings_.lease_length, [this] { return IsCandidate(); });
-  book_.emplace(node_.platform(), node_.key_value());
+                 settings_.lease_duration, [this] { return IsCandidate(); });
+  reservations_.emplace(node_.platform(), node_.key_value());
   sender_.emplace(orders_, settings_.order_timeout, [this](order_end end) {
-    planning_.Submit([this, end] { planner_->TakeOrderEnd(end); });
+    planning_.Submit([this, end] { planner_->HandleOrderEnd(end); });
   });
-  planner_.emplace(planning_, orders_, node_, *lease_, *book_, *sender_,
+  planner_.emplace(planning_, orders_, node_, *lease_, *reservations_, *sender_,
                    settings_);
   lease_->Start();
   planner_->Start();
@@ -57,19 +57,21 @@
   if (call.__isset.report) {
     auto take = [this,
                  report = std::move(call.report)]() -> asio::awaitable<bool> {
-      co_return planner_->TakeReport(report);
+      co_return planner_->HandleReport(report);
     };
-    const auto taken = co_await base::RunOn<bool>(planning_, std::move(take));
-    if (taken && *taken)
+    const auto accepted =
+        co_await base::RunOn<bool>(planning_, std::move(take));
+    if (accepted && *accepted)
       done.code = 0;
   }
   if (call.__isset.order_end) {
     auto take = [this,
                  end = Decode(call.order_end)]() -> asio::awaitable<bool> {
-      co_return planner_->TakeForeignEnd(end);
+      co_return planner_->HandleForwardedOrderEnd(end);
     };
-    const auto taken = co_await base::RunOn<bool>(planning_, std::move(take));
-    if (taken && *taken)
+    const auto accepted =
+        co_await base::RunOn<bool>(planning_, std::move(take));
+    if (accepted && *accepted)
       done.code = 0;
   }
   wire::envelope reply;
@@ -80,14 +82,14 @@
 void controller::AddStatus(boost::json::object& status) {
   auto part = std::make_shared<std::promise<boost::json::object>>();
   auto filled = part->get_future();
-  const bool asked = planning_.Submit([this, part] {
+  const bool submitted = planning_.Submit([this, part] {
     boost::json::object own;
     planner_->AddStatus(own);
     part->set_value(std::move(own));
   });
-  const bool answered =
-      asked && filled.wait_for(kStatusWait) == std::future_status::ready;
-  if (!answered)
+  const bool filled_in_time =
+      submitted && filled.wait_for(kStatusTimeout) == std::future_status::ready;
+  if (!filled_in_time)
     return;
   for (auto& [key, value] : filled.get())
     status[key] = std::move(value);
--- a/src/controller/process/controller.h
+++ b/src/controller/process/controller.h
@@ -10,7 +10,7 @@
 #include "controller/process/controller_settings.h"
 #include "controller/process/order_sender.h"
 #include "controller/process/planner.h"
-#include "controller/process/reservation_book.h"
+#include "controller/process/reservation_store.h"
 #include "node/node.h"
 #include "store/lease_keeper.h"
 
@@ -38,7 +38,7 @@
   base::duty planning_{"planning"};
   base::duty orders_{"orders"};
   std::optional<store::lease_keeper> lease_;
-  std::optional<reservation_book> book_;
+  std::optional<reservation_store> reservations_;
   std::optional<order_sender> sender_;
   std::optional<planner> planner_;
 };
--- a/src/controller/process/controller_settings.cc
+++ b/src/controller/process/controller_settings.cc
@@ -11,7 +11,7 @@
   settings::schema_builder schema;
   node::Describe(settings.shared, schema);
   schema.Section("lease").Duration(
-      "length", &settings.lease_length, seconds(1), minutes(10),
+      "length", &settings.lease_duration, seconds(1), minutes(10),
       "A holder that does not renew its lease loses it after this time.");
   schema.Section("orders")
       .Duration("timeout", &settings.order_timeout, milliseconds(100), hours(2),
--- a/src/controller/process/controller_settings.h
+++ b/src/controller/process/controller_settings.h
@@ -13,7 +13,7 @@
 // How the lease is held, the weight store spared and moves decided.
 struct controller_settings {
   node::node_settings shared;
-  std::chrono::microseconds lease_length = std::chrono::seconds(5);
+  std::chrono::microseconds lease_duration = std::chrono::seconds(5);
   std::chrono::microseconds plan_interval = std::chrono::seconds(1);
   std::chrono::microseconds order_timeout = std::chrono::minutes(5);
   // An unsettled load of an earlier holder counts as running at the weight
--- a/src/controller/process/order_end_wire.h
+++ b/src/controller/process/order_end_wire.h
@@ -9,7 +9,7 @@
 namespace valeledge::controller {
 
 wire::order_ended Encode(const order_end& end);
-order_end Decode(const wire::order_ended& told);
+order_end Decode(const wire::order_ended& message);
 
 }  // namespace valeledge::controller
 
--- a/src/controller/process/order_sender.cc
+++ b/src/controller/process/order_sender.cc
@@ -12,11 +12,11 @@
 
 namespace asio = boost::asio;
 
-constexpr auto kAskTimeout = std::chrono::milliseconds(500);
+constexpr auto kQueryTimeout = std::chrono::milliseconds(500);
 
 constexpr unsigned kDone = 200;
-constexpr unsigned kFenced = 409;
-constexpr unsigned kNoRoom = 507;
+constexpr unsigned kHttpFenced = 409;
+constexpr unsigned kHttpNoRoom = 507;
 
 std::string Encode(const decisions::order& order) {
   boost::json::object object;
@@ -42,45 +42,46 @@
 void order_sender::Send(std::string server,
                         base::endpoint address,
                         decisions::order order) {
-  asio::co_spawn(orders_.context(),
-                 Run(std::move(server), std::move(address), std::move(order)),
-                 asio::detached);
+  asio::co_spawn(
+      orders_.context(),
+      SendOrder(std::move(server), std::move(address), std::move(order)),
+      asio::detached);
 }
 
-asio::awaitable<std::optional<decisions::engine_report>> order_sender::Ask(
-    base::endpoint address) {
-  const auto answer = co_await http_.Fetch(
+asio::awaitable<std::optional<decisions::engine_report>>
+order_sender::QueryReport(base::endpoint address) {
+  const auto response = co_await http_.Fetch(
       std::move(address),
-      net::MakeRequest(boost::beast::http::verb::get, "/load"), kAskTimeout);
+      net::MakeRequest(boost::beast::http::verb::get, "/load"), kQueryTimeout);
   const auto object =
-      answer ? base::ParseJsonObject(answer->body()) : std::nullopt;
-  if (!object || answer->result_int() != kDone)
+      response ? base::ParseJsonObject(response->body()) : std::nullopt;
+  if (!object || response->result_int() != kDone)
     co_return std::nullopt;
   co_return node::ReadEngineReport(*object);
 }
 
-asio::awaitable<void> order_sender::Run(std::string server,
-                                        base::endpoint address,
-                                        decisions::order order) {
+asio::awaitable<void> order_sender::SendOrder(std::string server,
+                                              base::endpoint address,
+                                              decisions::order order) {
   order_end end;
   end.server = std::move(server);
   end.order_id = order.id;
-  const auto answer =
+  const auto response =
       co_await http_.Fetch(address,
                            net::MakeRequest(boost::beast::http::verb::post,
                                             "/orders", Encode(order)),
                            timeout_, net::connection_use::kFresh);
-  const bool never_left =
-      !answer && answer.error().what_ran == base::outcome::kNotRun;
-  if (never_left)
-    end.answer = decisions::order_response::kRefused;
-  if (answer) {
-    const unsigned status = answer->result_int();
+  const bool not_sent =
+      !response && response.error().what_ran == base::outcome::kNotRun;
+  if (not_sent)
+    end.response = decisions::order_response::kRefused;
+  if (response) {
+    const unsigned status = response->result_int();
     if (status == kDone)
-      end.answer = decisions::order_response::kDone;
-    if (status == kFenced || status == kNoRoom)
-      end.answer = decisions::order_response::kRefused;
-    if (const auto object = base::ParseJsonObject(answer->body())) {
+      end.response = decisions::order_response::kDone;
+    if (status == kHttpFenced || status == kHttpNoRoom)
+      end.response = decisions::order_response::kRefused;
+    if (const auto object = base::ParseJsonObject(response->body())) {
       end.incarnation = base::StringField(*object, "incarnation");
       end.version = base::IntegerField(*object, "version");
     }
--- a/src/controller/process/order_sender.h
+++ b/src/controller/process/order_sender.h
@@ -21,9 +21,9 @@
 struct order_end {
   std::string server;
   std::string order_id;
-  // Nothing: no answer came; the order may still be carried out, but this
+  // Nothing: no response came; the order may still be carried out, but this
   // process sends it no more.
-  std::optional<decisions::order_response> answer;
+  std::optional<decisions::order_response> response;
   // The run of the engine that answered, and its count of changes.
   std::string incarnation;
   std::int64_t version = 0;
@@ -40,17 +40,17 @@
                order_sink sink);
 
   // Asks an engine for a report now; on the sender's thread. Nothing if it
-  // does not answer.
-  boost::asio::awaitable<std::optional<decisions::engine_report>> Ask(
+  // does not respond.
+  boost::asio::awaitable<std::optional<decisions::engine_report>> QueryReport(
       base::endpoint address);
 
   // Sends once; on the sender's thread.
   void Send(std::string server, base::endpoint address, decisions::order order);
 
  private:
-  boost::asio::awaitable<void> Run(std::string server,
-                                   base::endpoint address,
-                                   decisions::order order);
+  boost::asio::awaitable<void> SendOrder(std::string server,
+                                         base::endpoint address,
+                                         decisions::order order);
 
   base::duty& orders_;
   std::chrono::microseconds timeout_;
--- a/src/controller/process/planner.cc
+++ b/src/controller/process/planner.cc
@@ -21,14 +21,14 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "planner";
 
-// How long an attempt is taken to last in a cell that has told nothing yet.
-constexpr std::chrono::duration<double> kUsualService(2.0);
+// How long an attempt is assumed to last in a cell that has told nothing yet.
+constexpr std::chrono::duration<double> kDefaultServiceTime(2.0);
 
-// Longest wait until the holder of the lease has taken an order's end.
+// Longest wait until the holder of the lease has accepted an order's end.
 constexpr auto kForwardTimeout = std::chrono::seconds(1);
 
 // One server is asked for a report at most this often.
-constexpr auto kAskInterval = std::chrono::milliseconds(500);
+constexpr auto kQueryInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -36,43 +36,43 @@
                  base::duty& orders,
                  node::node& node,
                  store::lease_keeper& lease,
-                 reservation_book& book,
+                 reservation_store& reservations,
                  order_sender& sender,
                  const controller_settings& settings)
     : planning_(planning),
       orders_(orders),
       node_(node),
       lease_(lease),
-      book_(book),
+      reservations_(reservations),
       sender_(sender),
       settings_(settings),
-      wake_(planning.context()),
+      wake_timer_(planning.context()),
       incarnation_(std::chrono::duration_cast<std::chrono::microseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count()),
-      store_(settings) {}
+      load_limiter_(settings) {}
 
 void planner::Start() {
   asio::co_spawn(planning_.context(), Loop(), asio::detached);
 }
 
-bool planner::TakeReport(const wire::cell_report& report) {
+bool planner::HandleReport(const wire::cell_report& report) {
   if (lease_.term() == 0)
     return false;
   const auto now = std::chrono::steady_clock::now();
   for (const wire::server_report& each : report.servers) {
-    server_news& news = news_[each.server];
-    news.engine = {each.incarnation, each.version, each.loaded,
-                   each.orders_done};
-    news.down = each.down;
-    news.leaving = each.leaving;
-    news.heard = now;
-    unread_.insert(each.server);
+    server_status& status = statuses_[each.server];
+    status.engine = {each.incarnation, each.version, each.loaded,
+                     each.orders_done};
+    status.down = each.down;
+    status.leaving = each.leaving;
+    status.reported_at = now;
+    unreconciled_.insert(each.server);
   }
   const std::chrono::duration<double> interval =
       std::chrono::microseconds(report.interval_us);
   if (report.mean_service_us > 0) {
-    mean_service_[report.cell] =
+    mean_service_times_[report.cell] =
         std::chrono::microseconds(report.mean_service_us);
   }
   auto& demand = demand_[report.cell];
@@ -82,24 +82,24 @@
       demand[each.model] =
           static_cast<double>(each.requests) / interval.count();
   }
-  wake_.cancel();
+  wake_timer_.cancel();
   return true;
 }
 
-void planner::TakeOrderEnd(order_end end) {
-  ends_.push_back(std::move(end));
-  wake_.cancel();
+void planner::HandleOrderEnd(order_end end) {
+  order_ends_.push_back(std::move(end));
+  wake_timer_.cancel();
 }
 
-bool planner::TakeForeignEnd(order_end end) {
+bool planner::HandleForwardedOrderEnd(order_end end) {
   if (lease_.term() == 0)
     return false;
-  TakeOrderEnd(std::move(end));
+  HandleOrderEnd(std::move(end));
   return true;
 }
 
-asio::awaitable<bool> planner::ForwardEnd(base::endpoint holder,
-                                          order_end end) {
+asio::awaitable<bool> planner::ForwardOrderEnd(base::endpoint holder,
+                                               order_end end) {
   wire::envelope call;
   call.__set_order_end(Encode(end));
   using reply_type = base::result<wire::envelope>;
@@ -112,10 +112,10 @@
       (*reply)->done.code == 0;
 }
 
-asio::awaitable<void> planner::ForwardEnds() {
-  std::ranges::move(deferred_, std::back_inserter(ends_));
-  deferred_.clear();
-  if (ends_.empty())
+asio::awaitable<void> planner::ForwardOrderEnds() {
+  std::ranges::move(deferred_order_ends_, std::back_inserter(order_ends_));
+  deferred_order_ends_.clear();
+  if (order_ends_.empty())
     co_return;
   const auto view = node_.View();
   const auto record = view->records.find(membership::kControllerRecord);
@@ -125,44 +125,44 @@
   const auto holder = base::ParseEndpoint(value.substr(0, value.find(' ')));
   if (!holder || *holder == node_.settings().peer_listen)
     co_return;
-  while (!ends_.empty()) {
-    const order_end end = ends_.front();
-    const bool taken = co_await ForwardEnd(*holder, end);
-    if (!taken)
+  while (!order_ends_.empty()) {
+    const order_end end = order_ends_.front();
+    const bool accepted = co_await ForwardOrderEnd(*holder, end);
+    if (!accepted)
       co_return;
-    awaited_.erase(end.order_id);
-    ends_.pop_front();
+    pending_orders_.erase(end.order_id);
+    order_ends_.pop_front();
   }
 }
 
 asio::awaitable<bool> planner::Write(decisions::server_reservation record) {
-  const auto written = co_await book_.Write(std::move(record));
+  const auto written = co_await reservations_.Write(std::move(record));
   if (written)
     co_return true;
   if (written.error().code == result_code::kLeaseLost)
-    lease_.NoteLost(book_.term());
+    lease_.NoteLost(reservations_.term());
   if (written.error().code == result_code::kRevisionConflict)
     base::Log(kCategory, log_event::kReservationConflict);
   co_return false;
 }
 
-asio::awaitable<bool> planner::Begin(std::int64_t term) {
-  news_.clear();
-  unread_.clear();
+asio::awaitable<bool> planner::BeginTerm(std::int64_t term) {
+  statuses_.clear();
+  unreconciled_.clear();
   demand_.clear();
-  const auto read = co_await book_.Read(term);
+  const auto read = co_await reservations_.Read(term);
   if (!read) {
     if (read.error().code == result_code::kLeaseLost)
       lease_.NoteLost(term);
     co_return false;
   }
   const auto now = std::chrono::steady_clock::now();
-  store_.Begin(now);
-  for (const auto& [server, kept] : book_.records()) {
-    for (const decisions::order& each : kept.record.unresolved) {
-      const bool own = awaited_.contains(each.id);
+  load_limiter_.BeginTerm(now);
+  for (const auto& [server, stored] : reservations_.records()) {
+    for (const decisions::order& each : stored.record.unresolved) {
+      const bool own = pending_orders_.contains(each.id);
       if (each.kind == order_kind::kLoad && !own)
-        store_.Inherit(now);
+        load_limiter_.AddInheritedLoad(now);
     }
   }
   node_.AnnounceRecord(std::string(membership::kControllerRecord),
@@ -171,36 +171,36 @@
   co_return true;
 }
 
-asio::awaitable<bool> planner::SettleEnds() {
-  while (!ends_.empty()) {
-    const order_end end = ends_.front();
-    const auto kept = book_.records().find(end.server);
-    if (kept != book_.records().end()) {
-      decisions::server_reservation record = kept->second.record;
+asio::awaitable<bool> planner::ResolveOrders() {
+  while (!order_ends_.empty()) {
+    const order_end end = order_ends_.front();
+    const auto stored = reservations_.records().find(end.server);
+    if (stored != reservations_.records().end()) {
+      decisions::server_reservation record = stored->second.record;
       const bool same_run =
           end.incarnation.empty() || end.incarnation == record.incarnation;
-      if (end.answer && !same_run) {
+      if (end.response && !same_run) {
         // Another run has answered; it counts when the record is about it.
-        deferred_.push_back(end);
-        ends_.pop_front();
+        deferred_order_ends_.push_back(end);
+        order_ends_.pop_front();
         continue;
       }
-      if (end.answer)
-        decisions::Resolve(record, end.order_id, *end.answer, end.version);
+      if (end.response)
+        decisions::Resolve(record, end.order_id, *end.response, end.version);
       else
         decisions::MarkFinished(record, end.order_id);
-      unread_.insert(end.server);
+      unreconciled_.insert(end.server);
       const bool written = co_await Write(std::move(record));
       if (!written)
         co_return false;
       base::Log(
           kCategory,
-          end.answer ? log_event::kOrderSettled : log_event::kOrderUnsettled,
+          end.response ? log_event::kOrderSettled : log_event::kOrderUnsettled,
           {{"server", end.server}, {"order", end.order_id}});
     }
-    awaited_.erase(end.order_id);
-    if (!ends_.empty() && ends_.front().order_id == end.order_id)
-      ends_.pop_front();
+    pending_orders_.erase(end.order_id);
+    if (!order_ends_.empty() && order_ends_.front().order_id == end.order_id)
+      order_ends_.pop_front();
   }
   co_return true;
 }
@@ -208,9 +208,9 @@
 decisions::server_reservation planner::RecordOf(
     const table::row& server) const {
   decisions::server_reservation record;
-  const auto kept = book_.records().find(server.name);
-  if (kept != book_.records().end())
-    record = kept->second.record;
+  const auto stored = reservations_.records().find(server.name);
+  if (stored != reservations_.records().end())
+    record = stored->second.record;
   record.server = server.name;
   record.capacity_mb = server.memory_mb;
   record.fencing = server.fencing;
@@ -219,47 +219,48 @@
   return record;
 }
 
-asio::awaitable<std::optional<decisions::engine_report>> planner::Ask(
+asio::awaitable<std::optional<decisions::engine_report>> planner::QueryReport(
     const table::row& row) {
   const auto now = std::chrono::steady_clock::now();
   const auto address = base::ParseEndpoint(row.address);
-  base::time_point& last = asked_[row.name];
-  if (!address || now - last < kAskInterval)
+  base::time_point& last = last_query_[row.name];
+  if (!address || now - last < kQueryInterval)
     co_return std::nullopt;
   last = now;
-  using answer_type = std::optional<decisions::engine_report>;
-  auto ask = [this, address = *address]() -> asio::awaitable<answer_type> {
-    co_return co_await sender_.Ask(address);
+  using response_type = std::optional<decisions::engine_report>;
+  auto query = [this, address = *address]() -> asio::awaitable<response_type> {
+    co_return co_await sender_.QueryReport(address);
   };
-  const auto answer =
-      co_await base::RunOn<answer_type>(orders_, std::move(ask));
-  co_return answer ? *answer : std::nullopt;
+  const auto response =
+      co_await base::RunOn<response_type>(orders_, std::move(query));
+  co_return response ? *response : std::nullopt;
 }
 
-asio::awaitable<bool> planner::ApplyNewsOf(const table::row& row,
-                                           const table::snapshot& table) {
-  const server_news news = news_.at(row.name);
+asio::awaitable<bool> planner::ReconcileServer(const table::row& row,
+                                               const table::snapshot& table) {
+  const server_status status = statuses_.at(row.name);
   decisions::server_reservation record = RecordOf(row);
-  const auto kept = book_.records().find(row.name);
-  const bool known =
-      kept != book_.records().end() && kept->second.modified != 0;
+  const auto stored = reservations_.records().find(row.name);
+  const bool known = stored != reservations_.records().end() &&
+                     stored->second.mod_revision != 0;
   const std::string before =
-      known ? decisions::EncodeReservation(kept->second.record) : std::string();
-  if (!news.down && decisions::NeedsReport(record, news.engine)) {
-    const auto report = co_await Ask(row);
+      known ? decisions::EncodeReservation(stored->second.record)
+            : std::string();
+  if (!status.down && decisions::NeedsReport(record, status.engine)) {
+    const auto report = co_await QueryReport(row);
     if (report)
       decisions::ApplyRequestedReport(record, *report);
   }
-  decisions::ApplyReport(record, news.engine);
-  // Sizes of what was there before any record are taken from the table.
+  decisions::ApplyReport(record, status.engine);
+  // Sizes of what was there before any record are accepted from the table.
   for (auto& [artifact, held] : record.held) {
     if (held.memory_mb != 0)
       continue;
-    const auto stored =
+    const auto table_entry =
         table.rows.find(artifact.substr(0, artifact.rfind('@')));
-    held.memory_mb = stored == table.rows.end()
+    held.memory_mb = table_entry == table.rows.end()
                          ? record.capacity_mb
-                         : stored->second.value.memory_mb;
+                         : table_entry->second.value.memory_mb;
   }
   const bool changed = decisions::EncodeReservation(record) != before;
   if (!changed || record.incarnation.empty())
@@ -268,35 +269,36 @@
   const bool written = co_await Write(std::move(record));
   if (!written)
     co_return false;
-  std::erase_if(deferred_, [&](const order_end& each) {
+  std::erase_if(deferred_order_ends_, [&](const order_end& each) {
     const bool due = each.server == row.name && each.incarnation == run;
     if (due)
-      ends_.push_back(each);
+      order_ends_.push_back(each);
     return due;
   });
   co_return true;
 }
 
-asio::awaitable<bool> planner::ApplyNews() {
+asio::awaitable<bool> planner::ReconcileReports() {
   const auto table = node_.table().Get();
-  if (std::exchange(read_table_, table->revision) != table->revision) {
-    for (const auto& [server, news] : news_)
-      unread_.insert(server);
+  if (std::exchange(reconciled_table_revision_, table->revision) !=
+      table->revision) {
+    for (const auto& [server, status] : statuses_)
+      unreconciled_.insert(server);
   }
-  const auto servers = std::exchange(unread_, {});
+  const auto servers = std::exchange(unreconciled_, {});
   for (const std::string& server : servers) {
     const table::row* row = table->Find(table::row_kind::kServer, server);
-    if (row == nullptr || !row->base.empty() || !news_.contains(server))
+    if (row == nullptr || !row->base.empty() || !statuses_.contains(server))
       continue;
-    const bool applied = co_await ApplyNewsOf(*row, *table);
-    const auto kept = book_.records().find(server);
-    const bool open =
-        kept == book_.records().end() ||
-        decisions::NeedsReport(kept->second.record, news_.at(server).engine);
+    const bool applied = co_await ReconcileServer(*row, *table);
+    const auto stored = reservations_.records().find(server);
+    const bool open = stored == reservations_.records().end() ||
+                      decisions::NeedsReport(stored->second.record,
+                                             statuses_.at(server).engine);
     if (open || !applied)
-      unread_.insert(server);
+      unreconciled_.insert(server);
     if (!applied) {
-      unread_.insert(servers.begin(), servers.end());
+      unreconciled_.insert(servers.begin(), servers.end());
       co_return false;
     }
   }
@@ -305,7 +307,7 @@
 
 // A controller process that has been replaced under the same id has certainly
 // ended: what it recorded will not be sent by it any more.
-asio::awaitable<bool> planner::FinishOfEnded() {
+asio::awaitable<bool> planner::FinishOrphanedOrders() {
   std::map<std::string, std::int64_t> incarnations;
   for (const membership::member& each : node_.View()->members)
     incarnations[each.id] = each.incarnation;
@@ -315,14 +317,14 @@
     return !each.finished && found != incarnations.end() &&
            found->second > each.sender_incarnation;
   };
-  for (const auto& [server, kept] : book_.records()) {
-    if (std::ranges::none_of(kept.record.unresolved, has_ended))
+  for (const auto& [server, stored] : reservations_.records()) {
+    if (std::ranges::none_of(stored.record.unresolved, has_ended))
       continue;
-    decisions::server_reservation record = kept.record;
+    decisions::server_reservation record = stored.record;
     for (decisions::order& each : record.unresolved)
       each.finished = each.finished || has_ended(each);
     changed.push_back(std::move(record));
-    unread_.insert(server);
+    unreconciled_.insert(server);
   }
   for (decisions::server_reservation& record : changed) {
     const bool written = co_await Write(std::move(record));
@@ -373,17 +375,17 @@
     decisions::placement_server each;
     each.name = row->name;
     each.zone = row->zone;
-    const auto service = mean_service_.find(table::CellOf(*row));
-    const auto mean =
-        service == mean_service_.end() ? kUsualService : service->second;
+    const auto service = mean_service_times_.find(table::CellOf(*row));
+    const auto mean = service == mean_service_times_.end() ? kDefaultServiceTime
+                                                           : service->second;
     each.capacity = static_cast<double>(row->slots) / mean.count();
     each.record = RecordOf(*row);
-    const auto news = news_.find(row->name);
-    each.usable = news != news_.end() && !news->second.down &&
-                  !news->second.leaving &&
-                  now - news->second.heard < settings_.report_expiry;
+    const auto status = statuses_.find(row->name);
+    each.usable = status != statuses_.end() && !status->second.down &&
+                  !status->second.leaving &&
+                  now - status->second.reported_at < settings_.report_expiry;
     for (const decisions::order& order : each.record.unresolved) {
-      if (awaited_.contains(order.id))
+      if (pending_orders_.contains(order.id))
         each.pending_orders.insert(order.id);
     }
     out.push_back(std::move(each));
@@ -391,8 +393,8 @@
   return out;
 }
 
-std::int64_t planner::OwnLoads() const {
-  return std::ranges::count_if(awaited_, [](const auto& each) {
+std::int64_t planner::PendingLoads() const {
+  return std::ranges::count_if(pending_orders_, [](const auto& each) {
     return each.second == order_kind::kLoad;
   });
 }
@@ -406,7 +408,8 @@
   return decisions::PlanPlacement(Models(*table), Servers(*table), placement);
 }
 
-asio::awaitable<bool> planner::CarryOut(const decisions::placement_move& move) {
+asio::awaitable<bool> planner::ExecuteMove(
+    const decisions::placement_move& move) {
   const auto table = node_.table().Get();
   const table::row* row = table->Find(table::row_kind::kServer, move.server);
   const auto address =
@@ -417,7 +420,8 @@
   const bool load = move.kind == order_kind::kLoad;
   if (load && !decisions::CanLoad(record, move.artifact, move.memory_mb))
     co_return true;
-  if (load && !store_.TryStart(OwnLoads(), std::chrono::steady_clock::now()))
+  if (load && !load_limiter_.TryStartLoad(PendingLoads(),
+                                          std::chrono::steady_clock::now()))
     co_return true;
   decisions::order order =
       load ? decisions::RecordLoad(record, base::NewIdentifier(), move.artifact,
@@ -429,7 +433,7 @@
   const bool written = co_await Write(std::move(record));
   if (!written)
     co_return false;
-  awaited_[order.id] = order.kind;
+  pending_orders_[order.id] = order.kind;
   ++moves_;
   node_.metrics()
       .Counter("valeledge_moves_total", load ? "load" : "unload")
@@ -448,33 +452,34 @@
 asio::awaitable<void> planner::Loop() {
   std::int64_t term = 0;
   while (true) {
-    wake_.expires_after(settings_.plan_interval);
-    co_await wake_.async_wait(kAwait);
+    wake_timer_.expires_after(settings_.plan_interval);
+    co_await wake_timer_.async_wait(kAwait);
     const std::int64_t now_held = lease_.term();
     if (now_held == 0) {
       term = 0;
-      co_await ForwardEnds();
+      co_await ForwardOrderEnds();
       continue;
     }
     if (now_held != term) {
-      const bool begun = co_await Begin(now_held);
+      const bool begun = co_await BeginTerm(now_held);
       if (!begun)
         continue;
       term = now_held;
     }
-    const bool recorded = co_await SettleEnds() && co_await ApplyNews() &&
-                          co_await FinishOfEnded();
+    const bool recorded = co_await ResolveOrders() &&
+                          co_await ReconcileReports() &&
+                          co_await FinishOrphanedOrders();
     if (!recorded || node_.table().Get()->revision == 0)
       continue;
     const decisions::placement_plan plan = Plan();
-    if (plan.unplaced_models != without_room_) {
-      without_room_ = plan.unplaced_models;
-      for (const std::string& model : without_room_)
+    if (plan.unplaced_models != unplaced_models_) {
+      unplaced_models_ = plan.unplaced_models;
+      for (const std::string& model : unplaced_models_)
         base::Log(kCategory, log_event::kNoRoomForModel, {{"model", model}});
     }
     for (const decisions::placement_move& move : plan.moves) {
-      const bool carried_out = co_await CarryOut(move);
-      if (!carried_out)
+      const bool executed = co_await ExecuteMove(move);
+      if (!executed)
         break;
     }
   }
@@ -485,11 +490,12 @@
   status["term"] = lease_.term();
   status["moves"] = moves_;
   boost::json::array records;
-  for (const auto& [server, kept] : book_.records()) {
-    records.push_back({{"server", server},
-                       {"capacity_mb", kept.record.capacity_mb},
-                       {"reserved_mb", decisions::ReservedMemory(kept.record)},
-                       {"unsettled", kept.record.unresolved.size()}});
+  for (const auto& [server, stored] : reservations_.records()) {
+    records.push_back(
+        {{"server", server},
+         {"capacity_mb", stored.record.capacity_mb},
+         {"reserved_mb", decisions::ReservedMemory(stored.record)},
+         {"unsettled", stored.record.unresolved.size()}});
   }
   status["reservations"] = std::move(records);
 }
--- a/src/controller/process/reservation_book.cc
+++ b/src/controller/process/reservation_store.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "controller/process/reservation_book.h"
+#include "controller/process/reservation_store.h"
 
 #include <utility>
 
@@ -18,12 +18,12 @@
 
 }  // namespace
 
-reservation_book::reservation_book(base::duty& platform,
-                                   store::kv_client& service)
+reservation_store::reservation_store(base::duty& platform,
+                                     store::kv_client& service)
     : platform_(platform), service_(service) {}
 
 asio::awaitable<base::result<store::kv_transaction_result>>
-reservation_book::Run(store::kv_transaction transaction) {
+reservation_store::Run(store::kv_transaction transaction) {
   using result_type = base::result<store::kv_transaction_result>;
   auto work = [this, transaction = std::move(
                          transaction)]() -> asio::awaitable<result_type> {
@@ -36,7 +36,7 @@
   co_return std::move(*result);
 }
 
-asio::awaitable<base::result<void>> reservation_book::Read(std::int64_t term) {
+asio::awaitable<base::result<void>> reservation_store::Read(std::int64_t term) {
   store::kv_transaction look;
   look.conditions.push_back(
       store::CreatedAt(std::string(store::kLeaderKey), term));
@@ -47,7 +47,7 @@
     co_return tl::make_unexpected(seen.error());
   if (!seen->succeeded)
     co_return base::NotRun(result_code::kLeaseLost, "the lease is gone");
-  std::map<std::string, kept_reservation> records;
+  std::map<std::string, stored_reservation> records;
   for (const store::kv_operation_result& result : seen->results) {
     for (const store::kv_pair& pair : result.pairs) {
       auto record = decisions::DecodeReservation(pair.value);
@@ -62,24 +62,24 @@
   co_return base::result<void>();
 }
 
-asio::awaitable<base::result<void>> reservation_book::Write(
+asio::awaitable<base::result<void>> reservation_store::Write(
     decisions::server_reservation record) {
   const std::string key = KeyOf(record.server);
   const std::string leader(store::kLeaderKey);
-  const std::int64_t modified = records_[record.server].modified;
+  const std::int64_t mod_revision = records_[record.server].mod_revision;
   const std::string value = decisions::EncodeReservation(record);
   store::kv_transaction change;
   change.conditions.push_back(store::CreatedAt(leader, term_));
-  change.conditions.push_back(store::Unchanged(key, modified));
+  change.conditions.push_back(store::Unchanged(key, mod_revision));
   change.on_success.push_back(store::Put(key, value));
   change.on_failure.push_back(store::Get(leader));
   change.on_failure.push_back(store::Get(key));
   const auto written = co_await Run(std::move(change));
   if (!written)
     co_return tl::make_unexpected(written.error());
-  kept_reservation& kept = records_[record.server];
+  stored_reservation& stored = records_[record.server];
   if (written->succeeded) {
-    kept = {std::move(record), written->revision};
+    stored = {std::move(record), written->revision};
     co_return base::result<void>();
   }
   const bool whole = written->results.size() == 2;
@@ -91,7 +91,7 @@
   if (!pairs.empty()) {
     auto present = decisions::DecodeReservation(pairs.front().value);
     if (present)
-      kept = {std::move(*present), pairs.front().mod_revision};
+      stored = {std::move(*present), pairs.front().mod_revision};
   }
   co_return base::NotRun(
       result_code::kRevisionConflict,
--- a/src/controller/process/reservation_book.h
+++ b/src/controller/process/reservation_store.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // The reservations as the key-value service has them, written by
 // compare-and-swap under the present lease.
-#ifndef VALELEDGE_CONTROLLER_PROCESS_RESERVATION_BOOK_H_
-#define VALELEDGE_CONTROLLER_PROCESS_RESERVATION_BOOK_H_
+#ifndef VALELEDGE_CONTROLLER_PROCESS_RESERVATION_STORE_H_
+#define VALELEDGE_CONTROLLER_PROCESS_RESERVATION_STORE_H_
 
 #include <cstdint>
 #include <map>
@@ -18,16 +18,16 @@
 namespace valeledge::controller {
 
 // A record with the revision that a write compares.
-struct kept_reservation {
+struct stored_reservation {
   decisions::server_reservation record;
   // 0: not in the service yet.
-  std::int64_t modified = 0;
+  std::int64_t mod_revision = 0;
 };
 
 // Lives on the planning thread; calls the service on the platform's thread.
-class reservation_book {
+class reservation_store {
  public:
-  reservation_book(base::duty& platform, store::kv_client& service);
+  reservation_store(base::duty& platform, store::kv_client& service);
 
   // Reads all records for a term that has begun.
   boost::asio::awaitable<base::result<void>> Read(std::int64_t term);
@@ -38,7 +38,7 @@
   boost::asio::awaitable<base::result<void>> Write(
       decisions::server_reservation record);
 
-  const std::map<std::string, kept_reservation>& records() const {
+  const std::map<std::string, stored_reservation>& records() const {
     return records_;
   }
   std::int64_t term() const { return term_; }
@@ -50,9 +50,9 @@
   base::duty& platform_;
   store::kv_client& service_;
   std::int64_t term_ = 0;
-  std::map<std::string, kept_reservation> records_;
+  std::map<std::string, stored_reservation> records_;
 };
 
 }  // namespace valeledge::controller
 
-#endif  // VALELEDGE_CONTROLLER_PROCESS_RESERVATION_BOOK_H_
+#endif  // VALELEDGE_CONTROLLER_PROCESS_RESERVATION_STORE_H_
--- a/src/controller/process/weight_store_gate.h
+++ b/src/controller/process/weight_store_limiter.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 // Keeps loads within what the weight store bears, also across a change of the
 // lease's holder.
-#ifndef VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_GATE_H_
-#define VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_GATE_H_
+#ifndef VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_LIMITER_H_
+#define VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_LIMITER_H_
 
 #include <cstdint>
 #include <string>
@@ -17,27 +17,27 @@
 // Counts the loads that run and the rate at which they start. A new holder
 // does not know what the last one has started: it begins with an empty bucket
 // and counts the unsettled loads it finds as running for a while.
-class weight_store_gate {
+class weight_store_limiter {
  public:
-  explicit weight_store_gate(const controller_settings& settings)
+  explicit weight_store_limiter(const controller_settings& settings)
       : settings_(settings) {}
 
-  // This process has taken the lease.
-  void Begin(base::time_point now);
+  // This process has accepted the lease.
+  void BeginTerm(base::time_point now);
   // An unsettled load of an earlier holder may be running.
-  void Inherit(base::time_point now);
+  void AddInheritedLoad(base::time_point now);
 
   // Whether one more load may start beside `own` of this process; takes from
   // the rate if so.
-  bool TryStart(std::int64_t own, base::time_point now);
+  bool TryStartLoad(std::int64_t own, base::time_point now);
 
  private:
   const controller_settings& settings_;
   decisions::token_bucket rate_;
   // Until when each inherited load counts.
-  std::vector<base::time_point> inherited_;
+  std::vector<base::time_point> inherited_load_expiries_;
 };
 
 }  // namespace valeledge::controller
 
-#endif  // VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_GATE_H_
+#endif  // VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_LIMITER_H_
--- a/src/scheduler/process/backend_poller.cc
+++ b/src/scheduler/process/backend_poller.cc
@@ -20,7 +20,7 @@
 backend_poller::backend_poller(base::duty& backends,
                                const scheduler_settings& settings,
                                report_sink sink)
-    : backends_duty_(backends),
+    : poll_thread_(backends),
       settings_(settings),
       sink_(std::move(sink)),
       http_(backends.context()) {}
@@ -32,7 +32,7 @@
     const auto known = before.find(server);
     if (known != before.end() && known->second == backend)
       continue;
-    asio::co_spawn(backends_duty_.context(), PollLoop(backend), asio::detached);
+    asio::co_spawn(poll_thread_.context(), PollLoop(backend), asio::detached);
   }
 }
 
@@ -41,21 +41,21 @@
   backend_report report;
   report.server = backend.server;
   const std::string_view path = backend.is_engine ? "/load" : "/healthz";
-  const auto answer = co_await http_.Fetch(
+  const auto response = co_await http_.Fetch(
       backend.address, net::MakeRequest(boost::beast::http::verb::get, path),
       settings_.poll_timeout);
-  if (!answer)
+  if (!response)
     co_return report;
   if (!backend.is_engine) {
-    // Any answer shows that a plain service is there; 503 that it is leaving.
-    report.answered = true;
-    report.draining = answer->result_int() == 503;
+    // Any response shows that a plain service is there; 503 that it is leaving.
+    report.responded = true;
+    report.draining = response->result_int() == 503;
     co_return report;
   }
-  const auto object = base::ParseJsonObject(answer->body());
-  if (!object || answer->result_int() != 200)
+  const auto object = base::ParseJsonObject(response->body());
+  if (!object || response->result_int() != 200)
     co_return report;
-  report.answered = true;
+  report.responded = true;
   report.in_flight = base::IntegerField(*object, "in_flight");
   report.draining = base::BoolField(*object, "draining");
   report.engine = node::ReadEngineReport(*object);
@@ -64,7 +64,7 @@
 
 asio::awaitable<void> backend_poller::PollLoop(polled_backend backend) {
   std::mt19937_64 random{std::random_device{}()};
-  asio::steady_timer timer(backends_duty_.context());
+  asio::steady_timer timer(poll_thread_.context());
   while (true) {
     const backend_report report = co_await Poll(backend);
     bytes_ = http_.bytes();
--- a/src/scheduler/process/backend_poller.h
+++ b/src/scheduler/process/backend_poller.h
@@ -49,7 +49,7 @@
   boost::asio::awaitable<void> PollLoop(polled_backend backend);
   boost::asio::awaitable<backend_report> Poll(const polled_backend& backend);
 
-  base::duty& backends_duty_;
+  base::duty& poll_thread_;
   const scheduler_settings& settings_;
   report_sink sink_;
   net::http_client http_;
--- a/src/scheduler/process/cell_book.cc
+++ b/src/scheduler/process/cell_registry.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "scheduler/process/cell_book.h"
+#include "scheduler/process/cell_registry.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,20 +21,21 @@
 constexpr std::string_view kCategory = "cells";
 
 // Regular work is done this often.
-constexpr auto kRegularInterval = std::chrono::milliseconds(50);
-constexpr int kOwnershipEvery = 4;
-constexpr int kLimitsEvery = 20;
+constexpr auto kMaintenanceInterval = std::chrono::milliseconds(50);
+constexpr int kRoundsPerOwnershipUpdate = 4;
+constexpr int kRoundsPerLimitUpdate = 20;
 
 // A cell that is not owned is kept for this long after it was last asked for.
-constexpr auto kForeignCellLife = std::chrono::seconds(30);
+constexpr auto kUnownedCellRetention = std::chrono::seconds(30);
 
 // Load is told again when it has changed by this part of the slots, or after
 // the longest silence while it changes at all.
-constexpr double kLoadStep = 0.2;
-constexpr auto kLoadSilence = std::chrono::seconds(2);
-constexpr auto kLoadLeastInterval = std::chrono::milliseconds(200);
+constexpr double kLoadChangeFraction = 0.2;
+constexpr auto kMaxLoadInterval = std::chrono::seconds(2);
+constexpr auto kMinLoadInterval = std::chrono::milliseconds(200);
 
-wire::grant_reply Refuse(result_code code, std::chrono::milliseconds wait) {
+wire::grant_reply MakeRefusal(result_code code,
+                              std::chrono::milliseconds wait) {
   wire::grant_reply reply;
   reply.code = static_cast<std::int32_t>(code);
   reply.reason = std::string(base::Describe(code).name);
@@ -43,7 +44,7 @@
   return reply;
 }
 
-constexpr auto kUsualWait = std::chrono::milliseconds(1000);
+constexpr auto kDefaultRetryAfter = std::chrono::milliseconds(1000);
 
 // The row that a unit stands for; an adapter's is its model's.
 const table::row* RowOf(const table::snapshot& table, std::string_view unit) {
@@ -61,7 +62,7 @@
 
 }  // namespace
 
-struct cell_book::waiting_grant {
+struct cell_registry::waiting_grant {
   explicit waiting_grant(asio::io_context& context)
       : decided(context, asio::steady_timer::time_point::max()) {}
 
@@ -70,23 +71,23 @@
   std::optional<wire::grant_reply> reply;
 };
 
-cell_book::cell_book(base::duty& decisions,
-                     node::node& node,
-                     const scheduler_settings& settings)
+cell_registry::cell_registry(base::duty& decisions,
+                             node::node& node,
+                             const scheduler_settings& settings)
     : decisions_(decisions),
       node_(node),
       settings_(settings),
       table_(node.table().Get()) {}
 
-void cell_book::Start() {
-  asio::co_spawn(decisions_.context(), RegularWork(), asio::detached);
+void cell_registry::Start() {
+  asio::co_spawn(decisions_.context(), MaintenanceLoop(), asio::detached);
 }
 
-void cell_book::Adopt(const std::string& name, bool owned) {
+void cell_registry::Adopt(const std::string& name, bool owned) {
   const auto now = std::chrono::steady_clock::now();
-  const auto [found, fresh] = cells_.try_emplace(name);
+  const auto [found, inserted] = cells_.try_emplace(name);
   cell_state& cell = found->second;
-  if (fresh) {
+  if (inserted) {
     cell.name = name;
     cell.admission.settings.queue_limit = settings_.queue_limit;
     cell.demand_since = now;
@@ -103,17 +104,17 @@
   }
 }
 
-cell_state* cell_book::FindOrAdopt(const std::string& name) {
+cell_state* cell_registry::FindOrAdopt(const std::string& name) {
   if (!table_->cells.contains(name))
     return nullptr;
   if (!cells_.contains(name))
     Adopt(name, false);
   cell_state& cell = cells_.at(name);
-  cell.last_asked = std::chrono::steady_clock::now();
+  cell.last_requested = std::chrono::steady_clock::now();
   return &cell;
 }
 
-void cell_book::UpdateOwnership() {
+void cell_registry::UpdateOwnership() {
   const auto view = node_.View();
   const auto now = std::chrono::steady_clock::now();
   for (const auto& [name, servers] : table_->cells) {
@@ -127,12 +128,12 @@
     const cell_state& cell = entry.second;
     const bool in_table = table_->cells.contains(cell.name);
     const bool idle = cell.running.empty() && cell.admission.queued == 0 &&
-                      now - cell.last_asked > kForeignCellLife;
+                      now - cell.last_requested > kUnownedCellRetention;
     return !cell.owned && (idle || !in_table) && cell.admission.queued == 0;
   });
 }
 
-decisions::waiting_request cell_book::MakeWaiting(
+decisions::waiting_request cell_registry::MakeWaiting(
     const wire::grant_request& request,
     const table::row& row,
     base::time_point now) const {
@@ -145,25 +146,25 @@
   waiting.tokens = std::max(1, request.estimated_tokens);
   waiting.arrived = now;
   waiting.avoid = request.avoid;
-  std::chrono::microseconds patience(request.remaining_us);
+  std::chrono::microseconds max_wait(request.remaining_us);
   if (row.kind == table::row_kind::kModel) {
     const std::chrono::duration<double> target =
-        row.first_token * settings_.queue_patience;
-    patience =
-        std::min(patience,
+        row.first_token * settings_.queue_wait_fraction;
+    max_wait =
+        std::min(max_wait,
                  std::chrono::duration_cast<std::chrono::microseconds>(target));
   }
-  waiting.latest_start = now + patience;
+  waiting.latest_start = now + max_wait;
   return waiting;
 }
 
-asio::awaitable<wire::grant_reply> cell_book::WaitForServer(
+asio::awaitable<wire::grant_reply> cell_registry::WaitForServer(
     cell_state& cell,
     const wire::grant_request& request) {
   const auto now = std::chrono::steady_clock::now();
   const table::row* row = RowOf(*table_, request.model);
   if (row == nullptr)
-    co_return Refuse(result_code::kUnknownModel, kUsualWait);
+    co_return MakeRefusal(result_code::kUnknownModel, kDefaultRetryAfter);
   ++cell.demand[row->name].requests;
   auto waiting = MakeWaiting(request, *row, now);
   const std::int64_t ticket = next_ticket_++;
@@ -174,12 +175,12 @@
       decisions::Enqueue(cell.admission, std::move(waiting), now);
   if (refused) {
     ++cell.demand[model].refused;
-    co_return Refuse(refused->code, refused->retry_after);
+    co_return MakeRefusal(refused->code, refused->retry_after);
   }
   auto entry = std::make_shared<waiting_grant>(decisions_.context());
   entry->request = request;
   waiting_[ticket] = entry;
-  Pump(cell);
+  DispatchWaiting(cell);
   while (!entry->reply)
     co_await entry->decided.async_wait(kAwait);
   waiting_.erase(ticket);
@@ -189,17 +190,17 @@
   co_return std::move(*entry->reply);
 }
 
-asio::awaitable<wire::grant_reply> cell_book::Grant(
+asio::awaitable<wire::grant_reply> cell_registry::Grant(
     wire::grant_request request) {
   const auto started = std::chrono::steady_clock::now();
   if (closed_)
-    co_return Refuse(result_code::kNotOwner, std::chrono::milliseconds(0));
+    co_return MakeRefusal(result_code::kNotOwner, std::chrono::milliseconds(0));
   cell_state* cell = FindOrAdopt(request.cell);
   if (cell == nullptr)
-    co_return Refuse(result_code::kNoBackendServer, kUsualWait);
+    co_return MakeRefusal(result_code::kNoBackendServer, kDefaultRetryAfter);
   wire::grant_reply reply = co_await WaitForServer(*cell, request);
   if (reply.code == 0 && request.__isset.idempotency_key) {
-    wire::grant_reply claimed = co_await make_claim_(request);
+    wire::grant_reply claimed = co_await claim_function_(request);
     const bool run = claimed.code == 0 && !claimed.__isset.recorded_answer;
     if (run) {
       reply.__set_claim_revision(claimed.claim_revision);
@@ -208,7 +209,7 @@
       ended.attempt_id = request.attempt_id;
       ended.cell = request.cell;
       ended.server = reply.server;
-      End(ended);
+      EndAttempt(ended);
       reply = std::move(claimed);
     }
   }
@@ -225,7 +226,7 @@
   co_return reply;
 }
 
-void cell_book::Pump(cell_state& cell) {
+void cell_registry::DispatchWaiting(cell_state& cell) {
   const auto now = std::chrono::steady_clock::now();
   auto result = decisions::Dispatch(cell.admission, now, random_);
   for (const decisions::admitted_request& each : result.admitted) {
@@ -249,32 +250,32 @@
     const auto found = waiting_.find(each.ticket);
     if (found == waiting_.end())
       continue;
-    found->second->reply = Refuse(each.code, each.retry_after);
+    found->second->reply = MakeRefusal(each.code, each.retry_after);
     found->second->decided.cancel();
   }
 }
 
-void cell_book::End(const wire::attempt_end& ended) {
+void cell_registry::EndAttempt(const wire::attempt_end& ended) {
   const auto found = cells_.find(ended.cell);
   if (found == cells_.end())
     return;
   const wire::cell_ready before = ReadyOf(found->second);
-  ApplyEnd(found->second, ended, std::chrono::steady_clock::now());
-  Pump(found->second);
+  ApplyAttemptEnd(found->second, ended, std::chrono::steady_clock::now());
+  DispatchWaiting(found->second);
   if (ended.unreachable && found->second.owned &&
       ReadyOf(found->second) != before) {
     AnnounceReady(found->second);
   }
 }
 
-void cell_book::TakeInFlight(const wire::in_flight_report& report) {
+void cell_registry::HandleInFlight(const wire::in_flight_report& report) {
   cell_state* cell = FindOrAdopt(report.cell);
   if (cell != nullptr)
     ApplyInFlight(*cell, report, std::chrono::steady_clock::now());
 }
 
-void cell_book::TakeReport(const std::string& name,
-                           const backend_report& report) {
+void cell_registry::HandleReport(const std::string& name,
+                                 const backend_report& report) {
   const auto found = cells_.find(name);
   if (found == cells_.end())
     return;
@@ -283,10 +284,10 @@
       ApplyReport(cell, report, *table_, settings_.polls_to_down);
   if (changed && cell.owned)
     AnnounceReady(cell);
-  Pump(cell);
+  DispatchWaiting(cell);
 }
 
-void cell_book::TakeTable(const table::snapshot_pointer& table) {
+void cell_registry::HandleTable(const table::snapshot_pointer& table) {
   table_ = table;
   const auto view = node_.View();
   for (auto& [name, cell] : cells_) {
@@ -299,37 +300,37 @@
   UpdateLimits();
 }
 
-void cell_book::UpdateLimits() {
+void cell_registry::UpdateLimits() {
   const auto now = std::chrono::steady_clock::now();
   const auto shares = LimitShares(*table_, *node_.View());
   for (auto& [name, cell] : cells_)
     ApplyLimits(cell, *table_, shares, now);
 }
 
-void cell_book::ApplyHostLists() {
+void cell_registry::UpdateLeavingHosts() {
   const auto leaving = node::LeavingHosts(*node_.View());
   for (auto& [name, cell] : cells_) {
-    const bool changed = ApplyHostList(cell, leaving);
+    const bool changed = ApplyLeavingHosts(cell, leaving);
     if (changed && cell.owned)
       AnnounceReady(cell);
   }
 }
 
-void cell_book::AnnounceReady(cell_state& cell) {
+void cell_registry::AnnounceReady(cell_state& cell) {
   node_.AnnounceRecord("ready/" + cell.name, wire::Encode(ReadyOf(cell)));
 }
 
-void cell_book::AnnounceLoad(cell_state& cell) {
+void cell_registry::AnnounceLoad(cell_state& cell) {
   const auto now = std::chrono::steady_clock::now();
   const wire::cell_load load = LoadOf(cell);
   wire::cell_load& last = announced_loads_[cell.name];
   base::time_point& at = announced_at_[cell.name];
   const int change =
       std::abs(load.queued + load.in_flight - last.queued - last.in_flight);
-  const bool large =
-      change > kLoadStep * std::max(load.slots, 1) || load.slots != last.slots;
-  const bool due = large ? now - at > kLoadLeastInterval
-                         : load != last && now - at > kLoadSilence;
+  const bool large = change > kLoadChangeFraction * std::max(load.slots, 1) ||
+                     load.slots != last.slots;
+  const bool due = large ? now - at > kMinLoadInterval
+                         : load != last && now - at > kMaxLoadInterval;
   if (!due)
     return;
   last = load;
@@ -337,28 +338,28 @@
   node_.AnnounceRecord("load/" + cell.name, wire::Encode(load));
 }
 
-asio::awaitable<void> cell_book::RegularWork() {
+asio::awaitable<void> cell_registry::MaintenanceLoop() {
   asio::steady_timer timer(decisions_.context());
   for (int round = 0;; ++round) {
-    if (round % kOwnershipEvery == 0) {
+    if (round % kRoundsPerOwnershipUpdate == 0) {
       UpdateOwnership();
-      ApplyHostLists();
+      UpdateLeavingHosts();
     }
-    if (round % kLimitsEvery == 0)
+    if (round % kRoundsPerLimitUpdate == 0)
       UpdateLimits();
     const auto now = std::chrono::steady_clock::now();
     for (auto& [name, cell] : cells_) {
       ExpireAttempts(cell, settings_.attempt_expiry, now);
-      Pump(cell);
+      DispatchWaiting(cell);
       if (cell.owned)
         AnnounceLoad(cell);
     }
-    timer.expires_after(kRegularInterval);
+    timer.expires_after(kMaintenanceInterval);
     co_await timer.async_wait(kAwait);
   }
 }
 
-void cell_book::AddStatus(boost::json::object& status) const {
+void cell_registry::AddStatus(boost::json::object& status) const {
   boost::json::array cells;
   for (const auto& [name, cell] : cells_) {
     boost::json::array servers;
--- a/src/scheduler/process/cell_book.h
+++ b/src/scheduler/process/cell_registry.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 // The cells that this scheduler decides for, and the requests that wait.
-#ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_BOOK_H_
-#define VALELEDGE_SCHEDULER_PROCESS_CELL_BOOK_H_
+#ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_REGISTRY_H_
+#define VALELEDGE_SCHEDULER_PROCESS_CELL_REGISTRY_H_
 
 #include <cstdint>
 #include <functional>
@@ -20,19 +20,21 @@
 
 namespace valeledge::scheduler {
 
-// Claims on behalf of a granted request; null for a book without claims.
-using claim_maker = std::function<boost::asio::awaitable<wire::grant_reply>(
+// Claims on behalf of a granted request; null for a registry without claims.
+using claim_function = std::function<boost::asio::awaitable<wire::grant_reply>(
     const wire::grant_request&)>;
 
 // Lives on the decisions' thread.
-class cell_book {
+class cell_registry {
  public:
-  cell_book(base::duty& decisions,
-            node::node& node,
-            const scheduler_settings& settings);
+  cell_registry(base::duty& decisions,
+                node::node& node,
+                const scheduler_settings& settings);
 
   // Claims are made with this; set before the first grant.
-  void SetClaimMaker(claim_maker maker) { make_claim_ = std::move(maker); }
+  void SetClaimFunction(claim_function maker) {
+    claim_function_ = std::move(maker);
+  }
 
   // Starts the regular work: ownership, late requests, expiry, gossip.
   void Start();
@@ -40,10 +42,10 @@
   // Waits for a grant or a refusal.
   boost::asio::awaitable<wire::grant_reply> Grant(wire::grant_request request);
 
-  void End(const wire::attempt_end& ended);
-  void TakeInFlight(const wire::in_flight_report& report);
-  void TakeReport(const std::string& cell, const backend_report& report);
-  void TakeTable(const table::snapshot_pointer& table);
+  void EndAttempt(const wire::attempt_end& ended);
+  void HandleInFlight(const wire::in_flight_report& report);
+  void HandleReport(const std::string& cell, const backend_report& report);
+  void HandleTable(const table::snapshot_pointer& table);
 
   // Refuses new requests from now on.
   void Close() { closed_ = true; }
@@ -62,12 +64,12 @@
   cell_state* FindOrAdopt(const std::string& name);
   void Adopt(const std::string& name, bool owned);
   void UpdateOwnership();
-  void ApplyHostLists();
+  void UpdateLeavingHosts();
   void UpdateLimits();
-  void Pump(cell_state& cell);
+  void DispatchWaiting(cell_state& cell);
   void AnnounceLoad(cell_state& cell);
   void AnnounceReady(cell_state& cell);
-  boost::asio::awaitable<void> RegularWork();
+  boost::asio::awaitable<void> MaintenanceLoop();
   boost::asio::awaitable<wire::grant_reply> WaitForServer(
       cell_state& cell,
       const wire::grant_request& request);
@@ -78,7 +80,7 @@
   base::duty& decisions_;
   node::node& node_;
   const scheduler_settings& settings_;
-  claim_maker make_claim_;
+  claim_function claim_function_;
   table::snapshot_pointer table_;
   std::map<std::string, cell_state> cells_;
   std::map<std::int64_t, std::shared_ptr<waiting_grant>> waiting_;
@@ -91,4 +93,4 @@
 
 }  // namespace valeledge::scheduler
 
-#endif  // VALELEDGE_SCHEDULER_PROCESS_CELL_BOOK_H_
+#endif  // VALELEDGE_SCHEDULER_PROCESS_CELL_REGISTRY_H_
--- a/src/scheduler/process/cell_reporter.cc
+++ b/src/scheduler/process/cell_reporter.cc
@@ -32,26 +32,29 @@
 
 cell_reporter::cell_reporter(base::duty& decisions,
                              node::node& node,
-                             cell_book& book,
+                             cell_registry& registry,
                              const scheduler_settings& settings)
-    : decisions_(decisions), node_(node), book_(book), settings_(settings) {}
+    : decisions_(decisions),
+      node_(node),
+      registry_(registry),
+      settings_(settings) {}
 
 void cell_reporter::Start() {
   asio::co_spawn(decisions_.context(), ReportLoop(), asio::detached);
 }
 
-wire::cell_report cell_reporter::Build(cell_state& cell) {
+wire::cell_report cell_reporter::BuildReport(cell_state& cell) {
   const auto now = std::chrono::steady_clock::now();
   wire::cell_report report;
   report.cell = cell.name;
   for (const auto& view : cell.admission.servers) {
     backend_state& backend = cell.backends[view.name];
-    if (!backend.is_engine || !backend.untold)
+    if (!backend.is_engine || !backend.unreported)
       continue;
     if (!backend.polled && !view.down)
       continue;
     report.servers.push_back(Encode(view.name, backend, view));
-    backend.untold = false;
+    backend.unreported = false;
   }
   for (const auto& [model, counted] : cell.demand) {
     wire::model_demand each;
@@ -74,10 +77,10 @@
 
 asio::awaitable<void> cell_reporter::ReportCell(std::string name,
                                                 base::endpoint controller) {
-  const auto found = book_.cells().find(name);
-  if (found == book_.cells().end() || !found->second.owned)
+  const auto found = registry_.cells().find(name);
+  if (found == registry_.cells().end() || !found->second.owned)
     co_return;
-  const wire::cell_report report = Build(found->second);
+  const wire::cell_report report = BuildReport(found->second);
   if (report.servers.empty() && report.demand.empty())
     co_return;
   wire::envelope call;
@@ -86,17 +89,17 @@
                controller]() -> asio::awaitable<base::result<wire::envelope>> {
     co_return co_await node_.CallPeer(controller, call, kReportTimeout);
   };
-  const auto answer = co_await base::RunOn<base::result<wire::envelope>>(
+  const auto response = co_await base::RunOn<base::result<wire::envelope>>(
       node_.peers(), std::move(send));
-  const bool taken =
-      answer && *answer && (*answer)->__isset.done && (*answer)->done.code == 0;
-  if (taken)
+  const bool accepted = response && *response && (*response)->__isset.done &&
+                        (*response)->done.code == 0;
+  if (accepted)
     co_return;
-  const auto again = book_.cells().find(name);
-  if (again == book_.cells().end())
+  const auto again = registry_.cells().find(name);
+  if (again == registry_.cells().end())
     co_return;
   for (const wire::server_report& each : report.servers)
-    again->second.backends[each.server].untold = true;
+    again->second.backends[each.server].unreported = true;
 }
 
 asio::awaitable<void> cell_reporter::ReportLoop() {
@@ -114,13 +117,13 @@
       continue;
     if (value != last_controller_) {
       last_controller_ = value;
-      for (auto& [name, cell] : book_.cells()) {
+      for (auto& [name, cell] : registry_.cells()) {
         for (auto& [server, backend] : cell.backends)
-          backend.untold = true;
+          backend.unreported = true;
       }
     }
     std::vector<std::string> owned;
-    for (const auto& [name, cell] : book_.cells()) {
+    for (const auto& [name, cell] : registry_.cells()) {
       if (cell.owned)
         owned.push_back(name);
     }
--- a/src/scheduler/process/cell_reporter.h
+++ b/src/scheduler/process/cell_reporter.h
@@ -10,7 +10,7 @@
 
 #include "base/duty.h"
 #include "node/node.h"
-#include "scheduler/process/cell_book.h"
+#include "scheduler/process/cell_registry.h"
 
 namespace valeledge::scheduler {
 
@@ -20,7 +20,7 @@
  public:
   cell_reporter(base::duty& decisions,
                 node::node& node,
-                cell_book& book,
+                cell_registry& registry,
                 const scheduler_settings& settings);
 
   void Start();
@@ -29,11 +29,11 @@
   boost::asio::awaitable<void> ReportLoop();
   boost::asio::awaitable<void> ReportCell(std::string cell,
                                           base::endpoint controller);
-  wire::cell_report Build(cell_state& cell);
+  wire::cell_report BuildReport(cell_state& cell);
 
   base::duty& decisions_;
   node::node& node_;
-  cell_book& book_;
+  cell_registry& registry_;
   const scheduler_settings& settings_;
   std::string last_controller_;
 };
--- a/src/scheduler/process/cell_state.cc
+++ b/src/scheduler/process/cell_state.cc
@@ -162,7 +162,7 @@
   const bool down_before = server->down;
   const bool leaving_before = server->leaving;
   const auto ready_before = server->ready;
-  if (!report.answered) {
+  if (!report.responded) {
     ++backend.missed_polls;
     if (backend.missed_polls >= polls_to_down)
       SetDown(cell, *server, true);
@@ -178,18 +178,18 @@
         std::max<std::int64_t>(0, report.in_flight - ours);
     backend.in_flight_at_poll = server->in_flight;
     if (backend.is_engine) {
-      backend.untold |= !SameEngine(backend.engine, report.engine);
+      backend.unreported |= !SameEngine(backend.engine, report.engine);
       backend.engine = report.engine;
       server->ready = UnitsOf(table, report.engine);
     }
   }
   const bool state_changed =
       server->down != down_before || server->leaving != leaving_before;
-  backend.untold |= state_changed;
+  backend.unreported |= state_changed;
   return state_changed || server->ready != ready_before;
 }
 
-bool ApplyHostList(cell_state& cell, const std::set<std::string>& leaving) {
+bool ApplyLeavingHosts(cell_state& cell, const std::set<std::string>& leaving) {
   bool changed = false;
   for (server_view& server : cell.admission.servers) {
     const auto address = base::ParseEndpoint(server.address);
@@ -197,7 +197,7 @@
     if (server.host_leaving == goes)
       continue;
     server.host_leaving = goes;
-    cell.backends[server.name].untold = true;
+    cell.backends[server.name].unreported = true;
     changed = true;
     if (goes) {
       base::Log(kCategory, log_event::kServerLeaving,
@@ -207,9 +207,9 @@
   return changed;
 }
 
-void ApplyEnd(cell_state& cell,
-              const wire::attempt_end& ended,
-              base::time_point now) {
+void ApplyAttemptEnd(cell_state& cell,
+                     const wire::attempt_end& ended,
+                     base::time_point now) {
   server_view* server = FindServer(cell, ended.server);
   if (server != nullptr && ended.unreachable) {
     // Out of choice until it answers a poll.
@@ -250,9 +250,9 @@
                    const wire::in_flight_report& report,
                    base::time_point now) {
   for (const wire::attempt_end& each : report.attempts) {
-    const auto [found, fresh] = cell.running.try_emplace(each.attempt_id);
-    found->second.seen = now;
-    if (!fresh)
+    const auto [found, inserted] = cell.running.try_emplace(each.attempt_id);
+    found->second.last_reported = now;
+    if (!inserted)
       continue;
     found->second.server = each.server;
     found->second.partner = each.partner;
@@ -267,7 +267,7 @@
                     base::time_point now) {
   std::erase_if(cell.running, [&](const auto& entry) {
     const running_attempt& attempt = entry.second;
-    if (now - attempt.seen < expiry)
+    if (now - attempt.last_reported < expiry)
       return false;
     decisions::EndAttempt(
         cell.admission,
--- a/src/scheduler/process/cell_state.h
+++ b/src/scheduler/process/cell_state.h
@@ -24,7 +24,7 @@
 // What one poll of a backend server found.
 struct backend_report {
   std::string server;
-  bool answered = false;
+  bool responded = false;
   bool draining = false;
   std::int64_t in_flight = 0;
   decisions::engine_report engine;
@@ -39,7 +39,7 @@
   // When it was granted; the clock's start if an earlier owner granted it.
   base::time_point started;
   // When its gateway last named it.
-  base::time_point seen;
+  base::time_point last_reported;
 };
 
 // What a scheduler keeps of one backend server beside decisions::server_view.
@@ -50,7 +50,7 @@
   bool polled = false;
   decisions::engine_report engine;
   // The controller has not been told of the newest report.
-  bool untold = true;
+  bool unreported = true;
 };
 
 // Requests for a model since the last report.
@@ -64,7 +64,7 @@
   std::string name;
   std::string zone;
   bool owned = false;
-  base::time_point last_asked;
+  base::time_point last_requested;
   decisions::cell_admission admission;
   std::map<std::string, backend_state> backends;
   std::map<std::string, running_attempt> running;
@@ -92,12 +92,12 @@
                  std::int64_t polls_to_down);
 
 // Takes in the addresses of hosts that are leaving; true if anything changed.
-bool ApplyHostList(cell_state& cell, const std::set<std::string>& leaving);
+bool ApplyLeavingHosts(cell_state& cell, const std::set<std::string>& leaving);
 
 // Ends an attempt as its gateway told; unknown ones are ignored.
-void ApplyEnd(cell_state& cell,
-              const wire::attempt_end& ended,
-              base::time_point now);
+void ApplyAttemptEnd(cell_state& cell,
+                     const wire::attempt_end& ended,
+                     base::time_point now);
 
 // Takes in what a gateway has in flight here: keeps alive what is known and
 // learns what an earlier owner granted.
--- a/src/scheduler/process/claim_batcher.cc
+++ b/src/scheduler/process/claim_batcher.cc
@@ -29,7 +29,7 @@
 
 // A lease for claims is used for new ones during this part of the retention
 // and lasts so much longer that each claim is kept long enough.
-constexpr int kLeaseUses = 24;
+constexpr int kLeasesPerRetention = 24;
 
 std::string KeyOf(const std::string& service,
                   const std::string& partner,
@@ -45,22 +45,22 @@
   std::string claim_id;
   std::string digest;
   std::string state;
-  claim_answer answer;
+  claim_result result;
 };
 
-constexpr std::string_view kClaimed = "claimed";
-constexpr std::string_view kAnswered = "answered";
-constexpr std::string_view kNotKept = "answered, not kept";
+constexpr std::string_view kStateClaimed = "claimed";
+constexpr std::string_view kStateAnswered = "answered";
+constexpr std::string_view kStateNotKept = "answered, not kept";
 
 std::string Encode(const stored_claim& claim) {
   json::object object;
   object["claim"] = claim.claim_id;
   object["digest"] = claim.digest;
   object["state"] = claim.state;
-  if (claim.state == kAnswered) {
-    object["status"] = claim.answer.status;
-    object["answer"] = claim.answer.answer;
-    object["content_type"] = claim.answer.content_type;
+  if (claim.state == kStateAnswered) {
+    object["status"] = claim.result.status;
+    object["answer"] = claim.result.body;
+    object["content_type"] = claim.result.content_type;
   }
   return json::serialize(object);
 }
@@ -73,30 +73,31 @@
   claim.claim_id = base::StringField(*object, "claim");
   claim.digest = base::StringField(*object, "digest");
   claim.state = base::StringField(*object, "state");
-  claim.answer.revision = pair.mod_revision;
-  claim.answer.recorded = claim.state == kAnswered;
-  claim.answer.status =
+  claim.result.revision = pair.mod_revision;
+  claim.result.recorded = claim.state == kStateAnswered;
+  claim.result.status =
       static_cast<std::int32_t>(base::IntegerField(*object, "status"));
-  claim.answer.answer = base::StringField(*object, "answer");
-  claim.answer.content_type = base::StringField(*object, "content_type");
+  claim.result.body = base::StringField(*object, "answer");
+  claim.result.content_type = base::StringField(*object, "content_type");
   return claim;
 }
 
 // What a claim that exists already means for a new wish.
-base::result<claim_answer> Judge(const std::vector<store::kv_pair>& pairs,
-                                 const claim_wish& wish) {
+base::result<claim_result> ResultOfExisting(
+    const std::vector<store::kv_pair>& pairs,
+    const claim_request& request) {
   const auto claim = pairs.empty() ? std::nullopt : Decode(pairs.front());
   if (!claim) {
     return base::NotRun(result_code::kClaimUnavailable,
                         "the claim could not be read");
   }
-  if (claim->digest != wish.digest) {
+  if (claim->digest != request.digest) {
     return base::NotRun(result_code::kKeyReused,
                         "this Idempotency-Key was used for another request");
   }
-  if (claim->answer.recorded || claim->claim_id == wish.claim_id)
-    return claim->answer;
-  if (claim->state == kNotKept) {
+  if (claim->result.recorded || claim->claim_id == request.claim_id)
+    return claim->result;
+  if (claim->state == kStateNotKept) {
     return base::Unknown(result_code::kAnswerNotKept,
                          "the call ran once; its answer was not kept");
   }
@@ -128,23 +129,23 @@
 
 claim_batcher::~claim_batcher() = default;
 
-asio::awaitable<bool> claim_batcher::HasLease() {
+asio::awaitable<bool> claim_batcher::EnsureLease() {
   const auto now = std::chrono::steady_clock::now();
-  const auto use = settings_.claim_retention / kLeaseUses;
+  const auto use = settings_.claim_retention / kLeasesPerRetention;
   if (lease_ != 0 && now < lease_until_)
     co_return true;
   // One asks, the others of the moment wait for its answer.
   asio::steady_timer timer(context_);
-  while (leasing_) {
+  while (granting_lease_) {
     timer.expires_after(std::chrono::milliseconds(1));
     co_await timer.async_wait(kAwait);
   }
   if (lease_ != 0 && now < lease_until_)
     co_return true;
-  leasing_ = true;
+  granting_lease_ = true;
   const auto granted = co_await service_.GrantLease(
       std::chrono::ceil<std::chrono::seconds>(settings_.claim_retention + use));
-  leasing_ = false;
+  granting_lease_ = false;
   if (!granted)
     co_return false;
   lease_ = *granted;
@@ -196,10 +197,9 @@
     metrics_.Counter("valeledge_claim_operations_total")
         .Add(static_cast<std::int64_t>(batch.size()));
     const auto written = co_await service_.Run(std::move(whole));
-    const bool whole_answer =
-        written && written->results.size() == batch.size();
+    const bool complete = written && written->results.size() == batch.size();
     for (std::size_t i = 0; i < batch.size(); ++i) {
-      if (whole_answer) {
+      if (complete) {
         auto result = written->results[i];
         // A put's revision is that of the transaction.
         if (result.pairs.empty()) {
@@ -222,10 +222,10 @@
   writing_ = false;
 }
 
-asio::awaitable<base::result<claim_answer>> claim_batcher::ReadBack(
-    claim_wish wish) {
+asio::awaitable<base::result<claim_result>> claim_batcher::ReadBack(
+    claim_request request) {
   const std::string key =
-      KeyOf(wish.service, wish.partner, wish.idempotency_key);
+      KeyOf(request.service, request.partner, request.idempotency_key);
   store::kv_transaction look;
   look.on_success.push_back(store::Get(key));
   const auto seen = co_await service_.Run(std::move(look));
@@ -233,42 +233,44 @@
       seen && !seen->results.empty() && !seen->results.front().pairs.empty();
   if (!found) {
     base::Log("claims", base::log_event::kClaimLost,
-              {{"request", wish.claim_id}});
+              {{"request", request.claim_id}});
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the claim could not be recorded");
   }
-  co_return Judge(seen->results.front().pairs, wish);
+  co_return ResultOfExisting(seen->results.front().pairs, request);
 }
 
-asio::awaitable<base::result<claim_answer>> claim_batcher::Claim(
-    claim_wish wish) {
-  const bool leased = co_await HasLease();
+asio::awaitable<base::result<claim_result>> claim_batcher::Claim(
+    claim_request request) {
+  const bool leased = co_await EnsureLease();
   if (!leased) {
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the key-value service granted no lease");
   }
   const std::string key =
-      KeyOf(wish.service, wish.partner, wish.idempotency_key);
-  stored_claim fresh{wish.claim_id, wish.digest, std::string(kClaimed), {}};
+      KeyOf(request.service, request.partner, request.idempotency_key);
+  stored_claim new_claim{
+      request.claim_id, request.digest, std::string(kStateClaimed), {}};
   store::kv_transaction create;
   create.conditions.push_back(store::Absent(key));
-  create.on_success.push_back(store::Put(key, Encode(fresh), lease_));
+  create.on_success.push_back(store::Put(key, Encode(new_claim), lease_));
   create.on_failure.push_back(store::Get(key));
   const auto written = co_await Write(key, std::move(create));
   if (!written) {
     if (written.error().what_ran == base::outcome::kUnknown)
-      co_return co_await ReadBack(std::move(wish));
+      co_return co_await ReadBack(std::move(request));
     co_return base::NotRun(result_code::kClaimUnavailable,
                            written.error().message);
   }
   if (written->succeeded) {
-    claim_answer answer;
-    answer.revision = written->pairs.front().mod_revision;
-    co_return answer;
+    claim_result result;
+    result.revision = written->pairs.front().mod_revision;
+    co_return result;
   }
-  co_return Judge(written->nested.empty() ? std::vector<store::kv_pair>()
-                                          : written->nested.front().pairs,
-                  wish);
+  co_return ResultOfExisting(written->nested.empty()
+                                 ? std::vector<store::kv_pair>()
+                                 : written->nested.front().pairs,
+                             request);
 }
 
 asio::awaitable<base::result<void>> claim_batcher::Update(
@@ -282,14 +284,14 @@
   } else {
     const auto kept = static_cast<std::size_t>(settings_.kept_answer_bytes);
     const bool keeps = update.answer.size() <= kept;
-    stored_claim answered{update.claim_id,
-                          update.digest,
-                          std::string(keeps ? kAnswered : kNotKept),
-                          {}};
-    answered.answer.status = update.status;
-    answered.answer.answer = std::move(update.answer);
-    answered.answer.content_type = std::move(update.content_type);
-    change.on_success.push_back(store::Put(key, Encode(answered), lease_));
+    stored_claim completed{update.claim_id,
+                           update.digest,
+                           std::string(keeps ? kStateAnswered : kStateNotKept),
+                           {}};
+    completed.result.status = update.status;
+    completed.result.body = std::move(update.answer);
+    completed.result.content_type = std::move(update.content_type);
+    change.on_success.push_back(store::Put(key, Encode(completed), lease_));
   }
   const auto written = co_await Write(key, std::move(change));
   if (!written)
--- a/src/scheduler/process/claim_batcher.h
+++ b/src/scheduler/process/claim_batcher.h
@@ -21,7 +21,7 @@
 namespace valeledge::scheduler {
 
 // Who wants to run what under which key.
-struct claim_wish {
+struct claim_request {
   std::string service;
   std::string partner;
   std::string idempotency_key;
@@ -31,11 +31,11 @@
 };
 
 // A claim that was had, or what an earlier submission left behind.
-struct claim_answer {
+struct claim_result {
   std::int64_t revision = 0;
   bool recorded = false;
   std::int32_t status = 0;
-  std::string answer;
+  std::string body;
   std::string content_type;
 };
 
@@ -51,7 +51,8 @@
   // Creates the claim. Errors: kClaimInProgress (another request holds it),
   // kKeyReused (for another request), kAnswerNotKept, kClaimUnavailable (not
   // written: nothing may be sent).
-  boost::asio::awaitable<base::result<claim_answer>> Claim(claim_wish wish);
+  boost::asio::awaitable<base::result<claim_result>> Claim(
+      claim_request request);
 
   // Records the answer of a claim, or releases it because nothing ran.
   boost::asio::awaitable<base::result<void>> Update(wire::claim_update update);
@@ -64,8 +65,9 @@
       store::kv_transaction transaction);
   boost::asio::awaitable<void> WriteLoop();
   std::vector<std::shared_ptr<pending>> TakeBatch();
-  boost::asio::awaitable<bool> HasLease();
-  boost::asio::awaitable<base::result<claim_answer>> ReadBack(claim_wish wish);
+  boost::asio::awaitable<bool> EnsureLease();
+  boost::asio::awaitable<base::result<claim_result>> ReadBack(
+      claim_request request);
 
   boost::asio::io_context& context_;
   store::kv_client& service_;
@@ -73,7 +75,7 @@
   base::metrics& metrics_;
   std::deque<std::shared_ptr<pending>> waiting_;
   bool writing_ = false;
-  bool leasing_ = false;
+  bool granting_lease_ = false;
   std::int64_t lease_ = 0;
   std::chrono::steady_clock::time_point lease_until_;
 };
--- a/src/scheduler/process/scheduler.cc
+++ b/src/scheduler/process/scheduler.cc
@@ -16,18 +16,18 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
 // The set of polled backend servers follows ownership this often.
-constexpr auto kChooseInterval = std::chrono::milliseconds(200);
+constexpr auto kBackendUpdateInterval = std::chrono::milliseconds(200);
 
 // A status without the cells is given if they take longer than this.
-constexpr auto kStatusWait = std::chrono::milliseconds(200);
+constexpr auto kStatusTimeout = std::chrono::milliseconds(200);
 
-constexpr auto kClaimComeBack = std::chrono::milliseconds(1000);
+constexpr auto kClaimRetryAfter = std::chrono::milliseconds(1000);
 
 wire::grant_reply RefusalOf(const base::error& failed) {
   wire::grant_reply reply;
   reply.code = static_cast<std::int32_t>(failed.code);
   reply.reason = failed.message;
-  reply.retry_after_us = std::chrono::microseconds(kClaimComeBack).count();
+  reply.retry_after_us = std::chrono::microseconds(kClaimRetryAfter).count();
   return reply;
 }
 
@@ -44,32 +44,33 @@
 scheduler::scheduler(scheduler_settings settings)
     : settings_(std::move(settings)),
       node_(settings_.shared, membership::role::kScheduler),
-      book_(decisions_, node_, settings_),
-      reporter_(decisions_, node_, book_, settings_),
+      registry_(decisions_, node_, settings_),
+      reporter_(decisions_, node_, registry_, settings_),
       poller_(backends_,
               settings_,
               [this](const std::string& cell, const backend_report& report) {
-                decisions_.Submit(
-                    [this, cell, report] { book_.TakeReport(cell, report); });
+                decisions_.Submit([this, cell, report] {
+                  registry_.HandleReport(cell, report);
+                });
               }) {}
 
 base::result<void> scheduler::Start() {
   node_.SetCallHandler(
       [this](wire::envelope call) { return HandleCall(std::move(call)); });
   node_.table().OnChange([this](const table::snapshot_pointer& table) {
-    decisions_.Submit([this, table] { book_.TakeTable(table); });
+    decisions_.Submit([this, table] { registry_.HandleTable(table); });
   });
   node_.AddStatusSource([this](boost::json::object& status) {
     auto part = std::make_shared<std::promise<boost::json::object>>();
     auto filled = part->get_future();
-    const bool asked = decisions_.Submit([this, part] {
+    const bool submitted = decisions_.Submit([this, part] {
       boost::json::object own;
-      book_.AddStatus(own);
+      registry_.AddStatus(own);
       part->set_value(std::move(own));
     });
-    const bool answered =
-        asked && filled.wait_for(kStatusWait) == std::future_status::ready;
-    if (!answered)
+    const bool filled_in_time = submitted && filled.wait_for(kStatusTimeout) ==
+                                                 std::future_status::ready;
+    if (!filled_in_time)
       return;
     for (auto& [key, value] : filled.get())
       status[key] = std::move(value);
@@ -83,24 +84,24 @@
   claims_ = std::make_unique<claim_batcher>(node_.platform().context(),
                                             node_.key_value(), settings_,
                                             node_.metrics());
-  book_.SetClaimMaker([this](const wire::grant_request& request) {
-    return MakeClaim(request);
+  registry_.SetClaimFunction([this](const wire::grant_request& request) {
+    return CreateClaim(request);
   });
-  book_.Start();
+  registry_.Start();
   reporter_.Start();
-  asio::co_spawn(decisions_.context(), ChooseBackends(), asio::detached);
+  asio::co_spawn(decisions_.context(), UpdatePolledBackends(), asio::detached);
   node_.Run();
   decisions_.Start();
   backends_.Start();
   return {};
 }
 
-asio::awaitable<void> scheduler::ChooseBackends() {
+asio::awaitable<void> scheduler::UpdatePolledBackends() {
   asio::steady_timer timer(decisions_.context());
   std::map<std::string, polled_backend> last;
   while (true) {
     std::map<std::string, polled_backend> wanted;
-    for (const auto& [name, cell] : book_.cells()) {
+    for (const auto& [name, cell] : registry_.cells()) {
       for (const auto& server : cell.admission.servers) {
         const auto address = base::ParseEndpoint(server.address);
         const auto backend = cell.backends.find(server.name);
@@ -114,38 +115,38 @@
       last = wanted;
       backends_.Submit([this, wanted] { poller_.SetBackends(wanted); });
     }
-    timer.expires_after(kChooseInterval);
+    timer.expires_after(kBackendUpdateInterval);
     co_await timer.async_wait(kAwait);
   }
 }
 
-asio::awaitable<wire::grant_reply> scheduler::MakeClaim(
+asio::awaitable<wire::grant_reply> scheduler::CreateClaim(
     const wire::grant_request& request) {
-  claim_wish wish;
+  claim_request claim;
   const std::size_t slash = request.model.find('/');
-  wish.service = request.model.substr(slash + 1);
-  wish.partner = request.partner;
-  wish.idempotency_key = request.idempotency_key;
-  wish.claim_id = request.request_id;
-  wish.digest = request.request_digest;
-  auto work = [this, wish]() -> asio::awaitable<base::result<claim_answer>> {
-    co_return co_await claims_->Claim(wish);
+  claim.service = request.model.substr(slash + 1);
+  claim.partner = request.partner;
+  claim.idempotency_key = request.idempotency_key;
+  claim.claim_id = request.request_id;
+  claim.digest = request.request_digest;
+  auto work = [this, claim]() -> asio::awaitable<base::result<claim_result>> {
+    co_return co_await claims_->Claim(claim);
   };
-  const auto answer = co_await base::RunOn<base::result<claim_answer>>(
+  const auto result = co_await base::RunOn<base::result<claim_result>>(
       node_.platform(), std::move(work));
-  if (!answer) {
+  if (!result) {
     co_return RefusalOf(base::MakeError(result_code::kRingFull,
                                         base::outcome::kNotRun,
                                         "too many claims wait"));
   }
-  if (!*answer)
-    co_return RefusalOf(answer->error());
+  if (!*result)
+    co_return RefusalOf(result->error());
   wire::grant_reply reply;
-  reply.__set_claim_revision((*answer)->revision);
-  if ((*answer)->recorded) {
-    reply.__set_recorded_answer((*answer)->answer);
-    reply.__set_recorded_status((*answer)->status);
-    reply.__set_recorded_type((*answer)->content_type);
+  reply.__set_claim_revision((*result)->revision);
+  if ((*result)->recorded) {
+    reply.__set_recorded_answer((*result)->body);
+    reply.__set_recorded_status((*result)->status);
+    reply.__set_recorded_type((*result)->content_type);
   }
   co_return reply;
 }
@@ -163,7 +164,7 @@
   ++active_;
   auto work = [this,
                call = std::move(call)]() -> asio::awaitable<wire::grant_reply> {
-    co_return co_await book_.Grant(call);
+    co_return co_await registry_.Grant(call);
   };
   auto granted =
       co_await base::RunOn<wire::grant_reply>(decisions_, std::move(work));
@@ -199,10 +200,10 @@
     co_return co_await HandleClaim(std::move(call.claim));
   if (call.__isset.ended) {
     decisions_.Submit(
-        [this, ended = std::move(call.ended)] { book_.End(ended); });
+        [this, ended = std::move(call.ended)] { registry_.EndAttempt(ended); });
   } else if (call.__isset.in_flight) {
     decisions_.Submit([this, report = std::move(call.in_flight)] {
-      book_.TakeInFlight(report);
+      registry_.HandleInFlight(report);
     });
   }
   co_return Done(0);
--- a/src/scheduler/process/scheduler.h
+++ b/src/scheduler/process/scheduler.h
@@ -11,7 +11,7 @@
 #include "base/duty.h"
 #include "node/node.h"
 #include "scheduler/process/backend_poller.h"
-#include "scheduler/process/cell_book.h"
+#include "scheduler/process/cell_registry.h"
 #include "scheduler/process/cell_reporter.h"
 #include "scheduler/process/claim_batcher.h"
 #include "scheduler/process/scheduler_settings.h"
@@ -34,15 +34,15 @@
   boost::asio::awaitable<wire::envelope> HandleCall(wire::envelope call);
   boost::asio::awaitable<wire::envelope> HandleGrant(wire::grant_request call);
   boost::asio::awaitable<wire::envelope> HandleClaim(wire::claim_update call);
-  boost::asio::awaitable<wire::grant_reply> MakeClaim(
+  boost::asio::awaitable<wire::grant_reply> CreateClaim(
       const wire::grant_request& request);
-  boost::asio::awaitable<void> ChooseBackends();
+  boost::asio::awaitable<void> UpdatePolledBackends();
 
   scheduler_settings settings_;
   node::node node_;
   base::duty decisions_{"decisions", 65536};
   base::duty backends_{"backends"};
-  cell_book book_;
+  cell_registry registry_;
   cell_reporter reporter_;
   backend_poller poller_;
   std::unique_ptr<claim_batcher> claims_;
--- a/src/scheduler/process/scheduler_settings.cc
+++ b/src/scheduler/process/scheduler_settings.cc
@@ -23,7 +23,7 @@
   schema.Section("queue")
       .Integer("limit", &settings.queue_limit, 1, 1'000'000,
                "Requests that may wait in one cell.")
-      .Number("patience", &settings.queue_patience, 0.01, 10,
+      .Number("patience", &settings.queue_wait_fraction, 0.01, 10,
               "Part of its first-token target that a request may wait.")
       .Duration("attempt_expiry", &settings.attempt_expiry, seconds(3),
                 hours(1), "An attempt that its gateway no longer names ends.");
--- a/src/scheduler/process/scheduler_settings.h
+++ b/src/scheduler/process/scheduler_settings.h
@@ -18,7 +18,7 @@
   std::chrono::microseconds report_interval = std::chrono::seconds(2);
   std::int64_t queue_limit = 1000;
   // A queued request may use up this part of its first-token target.
-  double queue_patience = 0.8;
+  double queue_wait_fraction = 0.8;
   std::chrono::microseconds attempt_expiry = std::chrono::seconds(10);
   std::chrono::microseconds claim_interval = std::chrono::milliseconds(10);
   std::int64_t claims_per_write = 50;
--- a/tests/auto/controller/test_orders.cc
+++ b/tests/auto/controller/test_orders.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "controller/process/order_end_wire.h"
-#include "controller/process/weight_store_gate.h"
+#include "controller/process/weight_store_limiter.h"
 
 namespace {
 
@@ -23,14 +23,14 @@
 
 BOOST_AUTO_TEST_CASE(a_new_holder_starts_with_an_empty_bucket) {
   const auto settings = Settings();
-  weight_store_gate gate(settings);
+  weight_store_limiter limiter(settings);
   base::time_point now(1000s);
-  gate.Begin(now);
-  BOOST_TEST(!gate.TryStart(0, now));
+  limiter.BeginTerm(now);
+  BOOST_TEST(!limiter.TryStartLoad(0, now));
   int started = 0;
   for (int i = 0; i < 100; ++i) {
     now += 100ms;
-    started += gate.TryStart(0, now) ? 1 : 0;
+    started += limiter.TryStartLoad(0, now) ? 1 : 0;
   }
   // Two a second for ten seconds.
   BOOST_TEST(started >= 19);
@@ -39,17 +39,17 @@
 
 BOOST_AUTO_TEST_CASE(inherited_loads_count_as_running_for_a_while) {
   const auto settings = Settings();
-  weight_store_gate gate(settings);
+  weight_store_limiter limiter(settings);
   base::time_point now(1000s);
-  gate.Begin(now);
-  gate.Inherit(now);
-  gate.Inherit(now);
+  limiter.BeginTerm(now);
+  limiter.AddInheritedLoad(now);
+  limiter.AddInheritedLoad(now);
   now += 5s;
-  BOOST_TEST(gate.TryStart(0, now));
-  BOOST_TEST(!gate.TryStart(1, now));
+  BOOST_TEST(limiter.TryStartLoad(0, now));
+  BOOST_TEST(!limiter.TryStartLoad(1, now));
   now += 5s;
-  BOOST_TEST(gate.TryStart(2, now));
-  BOOST_TEST(!gate.TryStart(3, now));
+  BOOST_TEST(limiter.TryStartLoad(2, now));
+  BOOST_TEST(!limiter.TryStartLoad(3, now));
 }
 
 BOOST_AUTO_TEST_CASE(the_end_of_an_order_survives_its_telling) {
@@ -58,13 +58,13 @@
   end.order_id = "1";
   end.incarnation = "run1";
   end.version = 7;
-  for (const auto answer :
+  for (const auto response :
        {std::optional<decisions::order_response>(),
         std::optional(decisions::order_response::kDone),
         std::optional(decisions::order_response::kRefused)}) {
-    end.answer = answer;
+    end.response = response;
     const order_end read = Decode(Encode(end));
-    BOOST_TEST((read.answer == answer));
+    BOOST_TEST((read.response == response));
     BOOST_TEST(read.server == "s");
     BOOST_TEST(read.order_id == "1");
     BOOST_TEST(read.incarnation == "run1");
