--- a/src/controller/process/controller.cc
+++ b/src/controller/process/controller.cc
@@ -83,9 +83,9 @@
   auto part = std::make_shared<std::promise<boost::json::object>>();
   auto filled = part->get_future();
   const bool submitted = planning_.Submit([this, part] {
-    boost::json::object own;
-    planner_->AddStatus(own);
-    part->set_value(std::move(own));
+    boost::json::object planner_status;
+    planner_->AddStatus(planner_status);
+    part->set_value(std::move(planner_status));
   });
   const bool filled_in_time =
       submitted && filled.wait_for(kStatusTimeout) == std::future_status::ready;
--- a/src/controller/process/order_sender.cc
+++ b/src/controller/process/order_sender.cc
@@ -14,7 +14,7 @@
 
 constexpr auto kQueryTimeout = std::chrono::milliseconds(500);
 
-constexpr unsigned kDone = 200;
+constexpr unsigned kHttpOk = 200;
 constexpr unsigned kHttpFenced = 409;
 constexpr unsigned kHttpNoRoom = 507;
 
@@ -55,7 +55,7 @@
       net::MakeRequest(boost::beast::http::verb::get, "/load"), kQueryTimeout);
   const auto object =
       response ? base::ParseJsonObject(response->body()) : std::nullopt;
-  if (!object || response->result_int() != kDone)
+  if (!object || response->result_int() != kHttpOk)
     co_return std::nullopt;
   co_return node::ReadEngineReport(*object);
 }
@@ -77,7 +77,7 @@
     end.response = decisions::order_response::kRefused;
   if (response) {
     const unsigned status = response->result_int();
-    if (status == kDone)
+    if (status == kHttpOk)
       end.response = decisions::order_response::kDone;
     if (status == kHttpFenced || status == kHttpNoRoom)
       end.response = decisions::order_response::kRefused;
--- a/src/controller/process/planner.cc
+++ b/src/controller/process/planner.cc
@@ -292,10 +292,11 @@
       continue;
     const bool applied = co_await ReconcileServer(*row, *table);
     const auto stored = reservations_.records().find(server);
-    const bool open = stored == reservations_.records().end() ||
-                      decisions::NeedsReport(stored->second.record,
-                                             statuses_.at(server).engine);
-    if (open || !applied)
+    const bool needs_report =
+        stored == reservations_.records().end() ||
+        decisions::NeedsReport(stored->second.record,
+                               statuses_.at(server).engine);
+    if (needs_report || !applied)
       unreconciled_.insert(server);
     if (!applied) {
       unreconciled_.insert(servers.begin(), servers.end());
@@ -336,10 +337,10 @@
 
 std::vector<decisions::placement_model> planner::Models(
     const table::snapshot& table) {
-  std::map<std::string, double> seen;
+  std::map<std::string, double> observed_demand;
   for (const auto& [cell, models] : demand_) {
     for (const auto& [model, rate] : models)
-      seen[model] += rate;
+      observed_demand[model] += rate;
   }
   const std::chrono::duration<double> interval = settings_.plan_interval;
   std::vector<decisions::placement_model> out;
@@ -358,7 +359,7 @@
       }
     }
     decisions::demand_forecast& forecast = forecasts_[model->name];
-    decisions::Update(forecast, seen[model->name], interval);
+    decisions::Update(forecast, observed_demand[model->name], interval);
     each.demand = decisions::Predict(forecast, std::chrono::seconds(5));
     out.push_back(std::move(each));
   }
@@ -454,17 +455,17 @@
   while (true) {
     wake_timer_.expires_after(settings_.plan_interval);
     co_await wake_timer_.async_wait(kAwait);
-    const std::int64_t now_held = lease_.term();
-    if (now_held == 0) {
+    const std::int64_t current_term = lease_.term();
+    if (current_term == 0) {
       term = 0;
       co_await ForwardOrderEnds();
       continue;
     }
-    if (now_held != term) {
-      const bool begun = co_await BeginTerm(now_held);
+    if (current_term != term) {
+      const bool begun = co_await BeginTerm(current_term);
       if (!begun)
         continue;
-      term = now_held;
+      term = current_term;
     }
     const bool recorded = co_await ResolveOrders() &&
                           co_await ReconcileReports() &&
--- a/src/controller/process/reservation_store.cc
+++ b/src/controller/process/reservation_store.cc
@@ -37,18 +37,18 @@
 }
 
 asio::awaitable<base::result<void>> reservation_store::Read(std::int64_t term) {
-  store::kv_transaction look;
-  look.conditions.push_back(
+  store::kv_transaction query;
+  query.conditions.push_back(
       store::CreatedAt(std::string(store::kLeaderKey), term));
-  look.on_success.push_back(
+  query.on_success.push_back(
       store::GetPrefix(std::string(store::kReservationPrefix)));
-  const auto seen = co_await Run(std::move(look));
-  if (!seen)
-    co_return tl::make_unexpected(seen.error());
-  if (!seen->succeeded)
+  const auto read_result = co_await Run(std::move(query));
+  if (!read_result)
+    co_return tl::make_unexpected(read_result.error());
+  if (!read_result->succeeded)
     co_return base::NotRun(result_code::kLeaseLost, "the lease is gone");
   std::map<std::string, stored_reservation> records;
-  for (const store::kv_operation_result& result : seen->results) {
+  for (const store::kv_operation_result& result : read_result->results) {
     for (const store::kv_pair& pair : result.pairs) {
       auto record = decisions::DecodeReservation(pair.value);
       if (!record)
@@ -82,9 +82,9 @@
     stored = {std::move(record), written->revision};
     co_return base::result<void>();
   }
-  const bool whole = written->results.size() == 2;
+  const bool complete = written->results.size() == 2;
   const auto& holder = written->results.front().pairs;
-  if (!whole || holder.empty() || holder.front().create_revision != term_)
+  if (!complete || holder.empty() || holder.front().create_revision != term_)
     co_return base::NotRun(result_code::kLeaseLost, "the lease is gone");
   // An earlier write of ours whose answer was lost shows up here.
   const auto& pairs = written->results[1].pairs;
--- a/src/controller/process/weight_store_limiter.cc
+++ b/src/controller/process/weight_store_limiter.cc
@@ -15,12 +15,12 @@
   inherited_load_expiries_.push_back(now + settings_.inherited_load);
 }
 
-bool weight_store_limiter::TryStartLoad(std::int64_t own,
+bool weight_store_limiter::TryStartLoad(std::int64_t own_loads,
                                         base::time_point now) {
   std::erase_if(inherited_load_expiries_,
                 [now](base::time_point until) { return until <= now; });
   const auto running =
-      own + static_cast<std::int64_t>(inherited_load_expiries_.size());
+      own_loads + static_cast<std::int64_t>(inherited_load_expiries_.size());
   return running < settings_.loads_at_once && decisions::TryTake(rate_, 1, now);
 }
 
--- a/src/controller/process/weight_store_limiter.h
+++ b/src/controller/process/weight_store_limiter.h
@@ -27,9 +27,9 @@
   // An unsettled load of an earlier holder may be running.
   void AddInheritedLoad(base::time_point now);
 
-  // Whether one more load may start beside `own` of this process; takes from
-  // the rate if so.
-  bool TryStartLoad(std::int64_t own, base::time_point now);
+  // Whether one more load may start beside `own_loads` of this process; takes
+  // from the rate if so.
+  bool TryStartLoad(std::int64_t own_loads, base::time_point now);
 
  private:
   const controller_settings& settings_;
--- a/src/scheduler/process/backend_poller.cc
+++ b/src/scheduler/process/backend_poller.cc
@@ -69,16 +69,16 @@
     const backend_report report = co_await Poll(backend);
     bytes_ = http_.bytes();
     const auto current = backends_.find(backend.server);
-    const bool wanted =
+    const bool still_polled =
         current != backends_.end() && current->second == backend;
-    if (!wanted)
+    if (!still_polled)
       co_return;
     sink_(backend.cell, report);
     // Spread, so that the polls of many backend servers do not coincide.
     const auto interval = settings_.poll_interval.count();
-    std::uniform_int_distribution<std::int64_t> any(interval * 9 / 10,
-                                                    interval * 11 / 10);
-    timer.expires_after(std::chrono::microseconds(any(random)));
+    std::uniform_int_distribution<std::int64_t> jittered_interval(
+        interval * 9 / 10, interval * 11 / 10);
+    timer.expires_after(std::chrono::microseconds(jittered_interval(random)));
     co_await timer.async_wait(kAwait);
   }
 }
--- a/src/scheduler/process/cell_registry.cc
+++ b/src/scheduler/process/cell_registry.cc
@@ -184,9 +184,9 @@
   while (!entry->reply)
     co_await entry->decided.async_wait(kAwait);
   waiting_.erase(ticket);
-  const auto still = cells_.find(cell_name);
-  if (entry->reply->code != 0 && still != cells_.end())
-    ++still->second.demand[model].refused;
+  const auto current_cell = cells_.find(cell_name);
+  if (entry->reply->code != 0 && current_cell != cells_.end())
+    ++current_cell->second.demand[model].refused;
   co_return std::move(*entry->reply);
 }
 
--- a/src/scheduler/process/cell_reporter.cc
+++ b/src/scheduler/process/cell_reporter.cc
@@ -95,11 +95,11 @@
                         (*response)->done.code == 0;
   if (accepted)
     co_return;
-  const auto again = registry_.cells().find(name);
-  if (again == registry_.cells().end())
+  const auto current_cell = registry_.cells().find(name);
+  if (current_cell == registry_.cells().end())
     co_return;
   for (const wire::server_report& each : report.servers)
-    again->second.backends[each.server].unreported = true;
+    current_cell->second.backends[each.server].unreported = true;
 }
 
 asio::awaitable<void> cell_reporter::ReportLoop() {
--- a/src/scheduler/process/cell_state.cc
+++ b/src/scheduler/process/cell_state.cc
@@ -171,11 +171,12 @@
     backend.polled = true;
     SetDown(cell, *server, false);
     SetLeaving(cell, *server, report.draining);
-    // The report lags: what was in flight here since the last one is ours.
-    const std::int64_t ours =
+    // The report lags: what was in flight here since the last one is
+    // own_attempts.
+    const std::int64_t own_attempts =
         std::max(server->in_flight, backend.in_flight_at_poll);
     server->external_in_flight =
-        std::max<std::int64_t>(0, report.in_flight - ours);
+        std::max<std::int64_t>(0, report.in_flight - own_attempts);
     backend.in_flight_at_poll = server->in_flight;
     if (backend.is_engine) {
       backend.unreported |= !SameEngine(backend.engine, report.engine);
@@ -193,13 +194,13 @@
   bool changed = false;
   for (server_view& server : cell.admission.servers) {
     const auto address = base::ParseEndpoint(server.address);
-    const bool goes = address && leaving.contains(address->address);
-    if (server.host_leaving == goes)
+    const bool is_leaving = address && leaving.contains(address->address);
+    if (server.host_leaving == is_leaving)
       continue;
-    server.host_leaving = goes;
+    server.host_leaving = is_leaving;
     cell.backends[server.name].unreported = true;
     changed = true;
-    if (goes) {
+    if (is_leaving) {
       base::Log(kCategory, log_event::kServerLeaving,
                 {{"server", server.name}, {"cell", cell.name}});
     }
@@ -237,9 +238,9 @@
                                attempt.tokens,
                                static_cast<double>(ended.tokens),
                                {}};
-  const bool whole =
+  const bool completed =
       ended.outcome == static_cast<std::int32_t>(base::outcome::kCompleted);
-  if (whole && attempt.started.time_since_epoch().count() != 0) {
+  if (completed && attempt.started.time_since_epoch().count() != 0) {
     end.took = std::chrono::duration_cast<std::chrono::microseconds>(
         now - attempt.started);
   }
--- a/src/scheduler/process/claim_batcher.cc
+++ b/src/scheduler/process/claim_batcher.cc
@@ -131,7 +131,8 @@
 
 asio::awaitable<bool> claim_batcher::EnsureLease() {
   const auto now = std::chrono::steady_clock::now();
-  const auto use = settings_.claim_retention / kLeasesPerRetention;
+  const auto rotation_interval =
+      settings_.claim_retention / kLeasesPerRetention;
   if (lease_ != 0 && now < lease_until_)
     co_return true;
   // One asks, the others of the moment wait for its answer.
@@ -143,13 +144,14 @@
   if (lease_ != 0 && now < lease_until_)
     co_return true;
   granting_lease_ = true;
-  const auto granted = co_await service_.GrantLease(
-      std::chrono::ceil<std::chrono::seconds>(settings_.claim_retention + use));
+  const auto granted =
+      co_await service_.GrantLease(std::chrono::ceil<std::chrono::seconds>(
+          settings_.claim_retention + rotation_interval));
   granting_lease_ = false;
   if (!granted)
     co_return false;
   lease_ = *granted;
-  lease_until_ = now + use;
+  lease_until_ = now + rotation_interval;
   co_return true;
 }
 
@@ -172,16 +174,16 @@
 claim_batcher::TakeBatch() {
   std::vector<std::shared_ptr<pending>> batch;
   std::set<std::string> keys;
-  std::deque<std::shared_ptr<pending>> left;
+  std::deque<std::shared_ptr<pending>> remaining;
   const auto limit = static_cast<std::size_t>(settings_.claims_per_write);
   for (auto& each : waiting_) {
     const bool fits = batch.size() < limit && keys.insert(each->key).second;
     if (fits)
       batch.push_back(std::move(each));
     else
-      left.push_back(std::move(each));
+      remaining.push_back(std::move(each));
   }
-  waiting_ = std::move(left);
+  waiting_ = std::move(remaining);
   return batch;
 }
 
@@ -190,13 +192,13 @@
   while (!waiting_.empty()) {
     const auto started = std::chrono::steady_clock::now();
     const auto batch = TakeBatch();
-    store::kv_transaction whole;
+    store::kv_transaction combined;
     for (const auto& each : batch)
-      whole.on_success.push_back(store::Nested(each->transaction));
+      combined.on_success.push_back(store::Nested(each->transaction));
     metrics_.Counter("valeledge_claim_writes_total").Add();
     metrics_.Counter("valeledge_claim_operations_total")
         .Add(static_cast<std::int64_t>(batch.size()));
-    const auto written = co_await service_.Run(std::move(whole));
+    const auto written = co_await service_.Run(std::move(combined));
     const bool complete = written && written->results.size() == batch.size();
     for (std::size_t i = 0; i < batch.size(); ++i) {
       if (complete) {
@@ -226,24 +228,24 @@
     claim_request request) {
   const std::string key =
       KeyOf(request.service, request.partner, request.idempotency_key);
-  store::kv_transaction look;
-  look.on_success.push_back(store::Get(key));
-  const auto seen = co_await service_.Run(std::move(look));
-  const bool found =
-      seen && !seen->results.empty() && !seen->results.front().pairs.empty();
+  store::kv_transaction query;
+  query.on_success.push_back(store::Get(key));
+  const auto read_result = co_await service_.Run(std::move(query));
+  const bool found = read_result && !read_result->results.empty() &&
+                     !read_result->results.front().pairs.empty();
   if (!found) {
     base::Log("claims", base::log_event::kClaimLost,
               {{"request", request.claim_id}});
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the claim could not be recorded");
   }
-  co_return ResultOfExisting(seen->results.front().pairs, request);
+  co_return ResultOfExisting(read_result->results.front().pairs, request);
 }
 
 asio::awaitable<base::result<claim_result>> claim_batcher::Claim(
     claim_request request) {
-  const bool leased = co_await EnsureLease();
-  if (!leased) {
+  const bool has_lease = co_await EnsureLease();
+  if (!has_lease) {
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the key-value service granted no lease");
   }
@@ -282,12 +284,14 @@
   if (update.release) {
     change.on_success.push_back(store::Delete(key));
   } else {
-    const auto kept = static_cast<std::size_t>(settings_.kept_answer_bytes);
-    const bool keeps = update.answer.size() <= kept;
-    stored_claim completed{update.claim_id,
-                           update.digest,
-                           std::string(keeps ? kStateAnswered : kStateNotKept),
-                           {}};
+    const auto max_bytes =
+        static_cast<std::size_t>(settings_.kept_answer_bytes);
+    const bool retained = update.answer.size() <= max_bytes;
+    stored_claim completed{
+        update.claim_id,
+        update.digest,
+        std::string(retained ? kStateAnswered : kStateNotKept),
+        {}};
     completed.result.status = update.status;
     completed.result.body = std::move(update.answer);
     completed.result.content_type = std::move(update.content_type);
--- a/src/scheduler/process/scheduler.cc
+++ b/src/scheduler/process/scheduler.cc
@@ -64,9 +64,9 @@
     auto part = std::make_shared<std::promise<boost::json::object>>();
     auto filled = part->get_future();
     const bool submitted = decisions_.Submit([this, part] {
-      boost::json::object own;
-      registry_.AddStatus(own);
-      part->set_value(std::move(own));
+      boost::json::object cells_status;
+      registry_.AddStatus(cells_status);
+      part->set_value(std::move(cells_status));
     });
     const bool filled_in_time = submitted && filled.wait_for(kStatusTimeout) ==
                                                  std::future_status::ready;
