--- a/src/controller/process/controller.cc
+++ b/src/controller/process/controller.cc
@@ -15,10 +15,10 @@
 
 namespace asio = boost::asio;
 
-// Controllers of one availability zone that try to take the lease.
+// Controllers per availability zone that compete for the lease.
 constexpr std::size_t kCandidatesPerZone = 2;
 
-// A status without the reservations is given if they take longer than this.
+// The status omits the planner's part if it takes longer than this to collect.
 constexpr auto kStatusTimeout = std::chrono::milliseconds(200);
 
 }  // namespace
--- a/src/controller/process/controller.h
+++ b/src/controller/process/controller.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The process valeledge-controller.
+// The valeledge-controller process.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_CONTROLLER_H_
 #define VALELEDGE_CONTROLLER_PROCESS_CONTROLLER_H_
 
@@ -16,8 +16,8 @@
 
 namespace valeledge::controller {
 
-// One of several; the one that holds the lease plans placement. Threads
-// beside the node's: "planning" and "orders".
+// Several controllers may run; only the lease holder plans placement. Adds the
+// threads "planning" and "orders" to those of the node.
 class controller {
  public:
   explicit controller(controller_settings settings);
--- a/src/controller/process/controller_settings.cc
+++ b/src/controller/process/controller_settings.cc
@@ -15,26 +15,26 @@
       "A holder that does not renew its lease loses it after this time.");
   schema.Section("orders")
       .Duration("timeout", &settings.order_timeout, milliseconds(100), hours(2),
-                "Longest wait for the answer to an order.")
+                "Maximum wait for the response to an order.")
       .Duration("inherited_load", &settings.inherited_load, milliseconds(0),
                 hours(2),
-                "An earlier holder's unsettled load counts as running for it.")
+                "Time a previous holder's unresolved load counts as running.")
       .Duration("report_expiry", &settings.report_expiry, seconds(5), hours(2),
                 "A backend server without a report for this long is not used.");
   schema.Section("weight_store")
       .Number("loads_per_second", &settings.loads_per_second, 0.001, 10'000,
-              "Loads that may start in a second.")
+              "Maximum loads started per second.")
       .Integer("loads_at_once", &settings.loads_at_once, 1, 10'000,
-               "Loads that may run at the same time.");
+               "Maximum loads running at the same time.");
   schema.Section("placement")
       .Duration("interval", &settings.plan_interval, milliseconds(10),
-                minutes(10), "Moves are planned so often.")
+                minutes(10), "Interval between planning rounds.")
       .Duration("horizon", &settings.horizon, seconds(1), hours(24),
-                "The gain of a move is counted over this time.")
+                "Period over which the gain of a move is counted.")
       .Number("high_mark", &settings.placement.high_mark, 0.01, 1,
-              "Part of a backend server's capacity that demand may fill.")
+              "Fraction of a backend server's capacity that demand may use.")
       .Number("low_mark", &settings.placement.low_mark, 0, 1,
-              "A replica whose demand is below this part may go.");
+              "A replica with demand below this fraction may be unloaded.");
   return schema;
 }
 
--- a/src/controller/process/order_end_wire.h
+++ b/src/controller/process/order_end_wire.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The end of an order as one controller tells it to another.
+// Wire encoding of an order's end, sent from one controller to another.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_ORDER_END_WIRE_H_
 #define VALELEDGE_CONTROLLER_PROCESS_ORDER_END_WIRE_H_
 
--- a/src/controller/process/order_sender.h
+++ b/src/controller/process/order_sender.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Sends recorded orders to model engines and brings their answers back.
+// Sends recorded orders to model engines and reports their responses.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_ORDER_SENDER_H_
 #define VALELEDGE_CONTROLLER_PROCESS_ORDER_SENDER_H_
 
@@ -17,14 +17,15 @@
 
 namespace valeledge::controller {
 
-// How the sending of an order ended.
+// The result of sending an order.
 struct order_end {
   std::string server;
   std::string order_id;
-  // Nothing: no response came; the order may still be carried out, but this
-  // process sends it no more.
+  // Empty if no response was received. The engine may still execute the order,
+  // but this process does not send it again.
   std::optional<decisions::order_response> response;
-  // The run of the engine that answered, and its count of changes.
+  // Identifies the run of the engine that responded; `version` is that run's
+  // change counter.
   std::string incarnation;
   std::int64_t version = 0;
 };
@@ -32,19 +33,19 @@
 // Called on the sender's thread.
 using order_sink = std::function<void(order_end)>;
 
-// Lives on a thread of its own.
+// Runs on its own thread, `orders`.
 class order_sender {
  public:
   order_sender(base::duty& orders,
                std::chrono::microseconds timeout,
                order_sink sink);
 
-  // Asks an engine for a report now; on the sender's thread. Nothing if it
-  // does not respond.
+  // Queries an engine for a current report; empty if it does not respond. Call
+  // on the sender's thread.
   boost::asio::awaitable<std::optional<decisions::engine_report>> QueryReport(
       base::endpoint address);
 
-  // Sends once; on the sender's thread.
+  // Sends the order once, without retries. Call on the sender's thread.
   void Send(std::string server, base::endpoint address, decisions::order order);
 
  private:
--- a/src/controller/process/planner.cc
+++ b/src/controller/process/planner.cc
@@ -21,13 +21,13 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "planner";
 
-// How long an attempt is assumed to last in a cell that has told nothing yet.
+// Assumed duration of an attempt in a cell that has not reported one yet.
 constexpr std::chrono::duration<double> kDefaultServiceTime(2.0);
 
-// Longest wait until the holder of the lease has accepted an order's end.
+// Maximum wait for the lease holder to acknowledge an order's end.
 constexpr auto kForwardTimeout = std::chrono::seconds(1);
 
-// One server is asked for a report at most this often.
+// Minimum time between two report queries to one server.
 constexpr auto kQueryInterval = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -180,7 +180,8 @@
       const bool same_run =
           end.incarnation.empty() || end.incarnation == record.incarnation;
       if (end.response && !same_run) {
-        // Another run has answered; it counts when the record is about it.
+        // The response comes from an engine run other than the recorded one.
+        // It is applied once the record has changed to that run.
         deferred_order_ends_.push_back(end);
         order_ends_.pop_front();
         continue;
@@ -252,7 +253,8 @@
       decisions::ApplyRequestedReport(record, *report);
   }
   decisions::ApplyReport(record, status.engine);
-  // Sizes of what was there before any record are accepted from the table.
+  // Artifacts loaded before any record existed have no size in the record;
+  // the table provides it.
   for (auto& [artifact, held] : record.held) {
     if (held.memory_mb != 0)
       continue;
@@ -306,8 +308,9 @@
   co_return true;
 }
 
-// A controller process that has been replaced under the same id has certainly
-// ended: what it recorded will not be sent by it any more.
+// A member with a newer incarnation under the same id proves that the earlier
+// controller process has exited, so it cannot send its recorded orders any
+// more.
 asio::awaitable<bool> planner::FinishOrphanedOrders() {
   std::map<std::string, std::int64_t> incarnations;
   for (const membership::member& each : node_.View()->members)
--- a/src/controller/process/planner.h
+++ b/src/controller/process/planner.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Plans moves while this process holds the lease, and carries them out: every
-// order is recorded before it leaves.
+// Plans and executes moves while this process holds the lease. Every order is
+// recorded before it is sent.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_PLANNER_H_
 #define VALELEDGE_CONTROLLER_PROCESS_PLANNER_H_
 
@@ -27,7 +27,7 @@
 
 namespace valeledge::controller {
 
-// What a report said of one server, and when.
+// The last reported state of one server.
 struct server_status {
   decisions::engine_report engine;
   bool down = false;
@@ -35,8 +35,8 @@
   base::time_point reported_at;
 };
 
-// Lives on the planning thread. One coroutine changes the records, so that
-// each change is made on the newest.
+// Runs on the planning thread. A single coroutine changes the records, so that
+// each change starts from the latest version.
 class planner {
  public:
   planner(base::duty& planning,
@@ -49,21 +49,22 @@
 
   void Start();
 
-  // Takes in a scheduler's report; true if this process is in charge.
+  // Processes a scheduler's report. Returns whether this process holds the
+  // lease.
   bool HandleReport(const wire::cell_report& report);
   void HandleOrderEnd(order_end end);
-  // The same from a controller that held the lease before; false if this
-  // process is not in charge.
+  // Processes an order's end forwarded by a previous lease holder. Returns
+  // whether this process holds the lease.
   bool HandleForwardedOrderEnd(order_end end);
   void AddStatus(boost::json::object& status) const;
-  // Orders whose answers are pending_orders.
+  // Number of orders of this process that have not ended.
   std::size_t pending_orders() const { return pending_orders_.size(); }
 
  private:
   boost::asio::awaitable<void> Loop();
   boost::asio::awaitable<bool> BeginTerm(std::int64_t term);
   boost::asio::awaitable<bool> ResolveOrders();
-  // Tells the present holder of the lease how this process's orders ended.
+  // Sends the ends of this process's orders to the current lease holder.
   boost::asio::awaitable<void> ForwardOrderEnds();
   boost::asio::awaitable<bool> ForwardOrderEnd(base::endpoint holder,
                                                order_end end);
@@ -94,19 +95,19 @@
   std::int64_t incarnation_;
   std::map<std::string, server_status> statuses_;
   std::map<std::string, decisions::demand_forecast> forecasts_;
-  // Requests a second by cell and model.
+  // Requests per second, by cell and model.
   std::map<std::string, std::map<std::string, double>> demand_;
-  // How long an attempt takes in each cell.
+  // Mean duration of an attempt, by cell.
   std::map<std::string, std::chrono::duration<double>> mean_service_times_;
   std::deque<order_end> order_ends_;
-  // Answers of runs that the records do not know yet.
+  // Responses from engine runs that are not in the records yet.
   std::vector<order_end> deferred_order_ends_;
-  // Servers whose status have not been compared with their records yet.
+  // Servers whose status has not been compared with their records yet.
   std::set<std::string> unreconciled_;
   std::int64_t reconciled_table_revision_ = 0;
-  // When a server was last asked for a report.
+  // Time of the last report query, by server.
   std::map<std::string, base::time_point> last_query_;
-  // Orders sent by this process without an end yet, with their kinds.
+  // Kinds of the orders of this process that have not ended, by order id.
   std::map<std::string, decisions::order_kind> pending_orders_;
   weight_store_limiter load_limiter_;
   std::vector<std::string> unplaced_models_;
--- a/src/controller/process/reservation_store.cc
+++ b/src/controller/process/reservation_store.cc
@@ -32,7 +32,7 @@
   auto result = co_await base::RunOn<result_type>(platform_, std::move(work));
   if (!result)
     co_return base::NotRun(result_code::kRingFull,
-                           "the platform's ring is full");
+                           "the queue of the platform thread is full");
   co_return std::move(*result);
 }
 
@@ -46,7 +46,8 @@
   if (!read_result)
     co_return tl::make_unexpected(read_result.error());
   if (!read_result->succeeded)
-    co_return base::NotRun(result_code::kLeaseLost, "the lease is gone");
+    co_return base::NotRun(result_code::kLeaseLost,
+                           "the controller lease was lost");
   std::map<std::string, stored_reservation> records;
   for (const store::kv_operation_result& result : read_result->results) {
     for (const store::kv_pair& pair : result.pairs) {
@@ -85,8 +86,10 @@
   const bool complete = written->results.size() == 2;
   const auto& holder = written->results.front().pairs;
   if (!complete || holder.empty() || holder.front().create_revision != term_)
-    co_return base::NotRun(result_code::kLeaseLost, "the lease is gone");
-  // An earlier write of ours whose answer was lost shows up here.
+    co_return base::NotRun(result_code::kLeaseLost,
+                           "the controller lease was lost");
+  // The stored record may be an earlier write by this process whose response
+  // was lost.
   const auto& pairs = written->results[1].pairs;
   if (!pairs.empty()) {
     auto present = decisions::DecodeReservation(pairs.front().value);
@@ -95,7 +98,7 @@
   }
   co_return base::NotRun(
       result_code::kRevisionConflict,
-      "the reservation of " + record.server + " was changed in between");
+      "the reservation of " + record.server + " was changed concurrently");
 }
 
 }  // namespace valeledge::controller
--- a/src/controller/process/reservation_store.h
+++ b/src/controller/process/reservation_store.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The reservations as the key-value service has them, written by
-// compare-and-swap under the present lease.
+// The reservations in the key-value service, written by compare-and-swap under
+// the current lease.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_RESERVATION_STORE_H_
 #define VALELEDGE_CONTROLLER_PROCESS_RESERVATION_STORE_H_
 
@@ -17,24 +17,25 @@
 
 namespace valeledge::controller {
 
-// A record with the revision that a write compares.
+// A record with the revision that the next write compares against.
 struct stored_reservation {
   decisions::server_reservation record;
-  // 0: not in the service yet.
+  // 0 if the record is not in the service yet.
   std::int64_t mod_revision = 0;
 };
 
-// Lives on the planning thread; calls the service on the platform's thread.
+// Runs on the planning thread; calls the service on the platform thread.
 class reservation_store {
  public:
   reservation_store(base::duty& platform, store::kv_client& service);
 
-  // Reads all records for a term that has begun.
+  // Reads all records at the start of a term. Errors: kLeaseLost, the
+  // service's, or those of decoding a record.
   boost::asio::awaitable<base::result<void>> Read(std::int64_t term);
 
-  // Replaces a record. Errors: kLeaseLost (another controller is in charge),
-  // kRevisionConflict (read again), or the platform's. After any error the
-  // record here is as it was.
+  // Replaces a record. Errors: kLeaseLost (another controller holds the lease),
+  // kRevisionConflict (the record was changed; the stored version replaces the
+  // one here), or the service's, which leaves the record here unchanged.
   boost::asio::awaitable<base::result<void>> Write(
       decisions::server_reservation record);
 
--- a/src/controller/process/weight_store_limiter.h
+++ b/src/controller/process/weight_store_limiter.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Keeps loads within what the weight store bears, also across a change of the
-// lease's holder.
+// Limits the load on the weight store, also across a change of the lease
+// holder.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_LIMITER_H_
 #define VALELEDGE_CONTROLLER_PROCESS_WEIGHT_STORE_LIMITER_H_
 
@@ -14,27 +14,28 @@
 
 namespace valeledge::controller {
 
-// Counts the loads that run and the rate at which they start. A new holder
-// does not know what the last one has started: it begins with an empty bucket
-// and counts the unsettled loads it finds as running for a while.
+// Limits the number of concurrent loads and the rate at which loads start. A
+// new lease holder does not know which loads its predecessor started, so it
+// begins with an empty bucket and counts the unresolved loads it finds as
+// running for controller_settings::inherited_load.
 class weight_store_limiter {
  public:
   explicit weight_store_limiter(const controller_settings& settings)
       : settings_(settings) {}
 
-  // This process has accepted the lease.
+  // Call when this process has acquired the lease.
   void BeginTerm(base::time_point now);
-  // An unsettled load of an earlier holder may be running.
+  // Counts an unresolved load of a previous holder, which may be running.
   void AddInheritedLoad(base::time_point now);
 
-  // Whether one more load may start beside `own_loads` of this process; takes
-  // from the rate if so.
+  // Returns whether another load may start while `own_loads` loads of this
+  // process are running. If so, takes one token from the rate limit.
   bool TryStartLoad(std::int64_t own_loads, base::time_point now);
 
  private:
   const controller_settings& settings_;
   decisions::token_bucket rate_;
-  // Until when each inherited load counts.
+  // Time after which each inherited load no longer counts.
   std::vector<base::time_point> inherited_load_expiries_;
 };
 
--- a/src/scheduler/process/backend_poller.cc
+++ b/src/scheduler/process/backend_poller.cc
@@ -47,7 +47,8 @@
   if (!response)
     co_return report;
   if (!backend.is_engine) {
-    // Any response shows that a plain service is there; 503 that it is leaving.
+    // Any response shows that a plain service is reachable; 503 means that it
+    // is draining.
     report.responded = true;
     report.draining = response->result_int() == 503;
     co_return report;
@@ -74,7 +75,7 @@
     if (!still_polled)
       co_return;
     sink_(backend.cell, report);
-    // Spread, so that the polls of many backend servers do not coincide.
+    // 10 % jitter keeps the polls of many backend servers from coinciding.
     const auto interval = settings_.poll_interval.count();
     std::uniform_int_distribution<std::int64_t> jittered_interval(
         interval * 9 / 10, interval * 11 / 10);
--- a/src/scheduler/process/backend_poller.h
+++ b/src/scheduler/process/backend_poller.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Asks the backend servers of this scheduler's cells for their load.
+// Polls the backend servers of this scheduler's cells for their load.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_BACKEND_POLLER_H_
 #define VALELEDGE_SCHEDULER_PROCESS_BACKEND_POLLER_H_
 
@@ -18,7 +18,7 @@
 
 namespace valeledge::scheduler {
 
-// One backend server to poll.
+// A backend server to poll, and the cell that receives its reports.
 struct polled_backend {
   std::string cell;
   std::string server;
@@ -28,21 +28,21 @@
   bool operator==(const polled_backend&) const = default;
 };
 
-// Takes the result of a poll; called on the poller's thread.
+// Receives the result of a poll; called on the poller's thread.
 using report_sink =
     std::function<void(const std::string& cell, const backend_report&)>;
 
-// Lives on a thread of its own.
+// Runs on its own thread, `backends`.
 class backend_poller {
  public:
   backend_poller(base::duty& backends,
                  const scheduler_settings& settings,
                  report_sink sink);
 
-  // Bytes of all polls so far; from any thread.
+  // Total bytes transferred by polls. May be called from any thread.
   std::int64_t bytes() const { return bytes_.load(); }
 
-  // Polls exactly these from now on; on the poller's thread.
+  // Replaces the set of polled backend servers. Call on the poller's thread.
   void SetBackends(std::map<std::string, polled_backend> backends);
 
  private:
--- a/src/scheduler/process/cell_registry.cc
+++ b/src/scheduler/process/cell_registry.cc
@@ -20,16 +20,18 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::string_view kCategory = "cells";
 
-// Regular work is done this often.
+// Interval of MaintenanceLoop; ownership and limits are updated every few
+// rounds only.
 constexpr auto kMaintenanceInterval = std::chrono::milliseconds(50);
 constexpr int kRoundsPerOwnershipUpdate = 4;
 constexpr int kRoundsPerLimitUpdate = 20;
 
-// A cell that is not owned is kept for this long after it was last asked for.
+// A cell that is not owned is retained for this long after its last request.
 constexpr auto kUnownedCellRetention = std::chrono::seconds(30);
 
-// Load is told again when it has changed by this part of the slots, or after
-// the longest silence while it changes at all.
+// Load is announced again after the minimum interval if it has changed by more
+// than this fraction of the slots or the number of slots has changed, and after
+// the maximum interval for any smaller change.
 constexpr double kLoadChangeFraction = 0.2;
 constexpr auto kMaxLoadInterval = std::chrono::seconds(2);
 constexpr auto kMinLoadInterval = std::chrono::milliseconds(200);
@@ -46,7 +48,7 @@
 
 constexpr auto kDefaultRetryAfter = std::chrono::milliseconds(1000);
 
-// The row that a unit stands for; an adapter's is its model's.
+// Returns the row of a unit; for an adapter, that of its base model.
 const table::row* RowOf(const table::snapshot& table, std::string_view unit) {
   const std::size_t slash = unit.find('/');
   if (slash == std::string_view::npos)
--- a/src/scheduler/process/cell_registry.h
+++ b/src/scheduler/process/cell_registry.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The cells that this scheduler decides for, and the requests that wait.
+// The cells that this scheduler admits requests for, and the queued requests.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_REGISTRY_H_
 #define VALELEDGE_SCHEDULER_PROCESS_CELL_REGISTRY_H_
 
@@ -20,26 +20,27 @@
 
 namespace valeledge::scheduler {
 
-// Claims on behalf of a granted request; null for a registry without claims.
+// Creates the claim of a granted request. Null for a registry without claims.
 using claim_function = std::function<boost::asio::awaitable<wire::grant_reply>(
     const wire::grant_request&)>;
 
-// Lives on the decisions' thread.
+// Runs on the decisions thread.
 class cell_registry {
  public:
   cell_registry(base::duty& decisions,
                 node::node& node,
                 const scheduler_settings& settings);
 
-  // Claims are made with this; set before the first grant.
+  // Sets the function that creates claims. Call before the first grant.
   void SetClaimFunction(claim_function maker) {
     claim_function_ = std::move(maker);
   }
 
-  // Starts the regular work: ownership, late requests, expiry, gossip.
+  // Starts periodic maintenance: ownership, overdue requests, expiry of
+  // attempts and gossip.
   void Start();
 
-  // Waits for a grant or a refusal.
+  // Returns when the request has been granted or refused.
   boost::asio::awaitable<wire::grant_reply> Grant(wire::grant_request request);
 
   void EndAttempt(const wire::attempt_end& ended);
@@ -47,9 +48,9 @@
   void HandleReport(const std::string& cell, const backend_report& report);
   void HandleTable(const table::snapshot_pointer& table);
 
-  // Refuses new requests from now on.
+  // Refuses all further requests.
   void Close() { closed_ = true; }
-  // Requests that wait for a decision.
+  // Number of requests that are waiting for a decision.
   std::int64_t waiting() const {
     return static_cast<std::int64_t>(waiting_.size());
   }
--- a/src/scheduler/process/cell_reporter.h
+++ b/src/scheduler/process/cell_reporter.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Tells the controller that holds the lease what the cells' engines report.
+// Forwards the reports of the cells' engines to the controller that holds the
+// lease.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_REPORTER_H_
 #define VALELEDGE_SCHEDULER_PROCESS_CELL_REPORTER_H_
 
@@ -14,8 +15,8 @@
 
 namespace valeledge::scheduler {
 
-// Reports changes and demand; after a new controller has taken the lease,
-// everything. Lives on the decisions' thread.
+// Reports changes and demand, or the full state after a new controller has
+// acquired the lease. Runs on the decisions thread.
 class cell_reporter {
  public:
   cell_reporter(base::duty& decisions,
--- a/src/scheduler/process/cell_state.cc
+++ b/src/scheduler/process/cell_state.cc
@@ -28,7 +28,8 @@
   return artifact.substr(0, artifact.rfind('@'));
 }
 
-// Until the first poll, what gossip says an earlier owner saw.
+// Returns the ready units that the previous owner of the cell announced by
+// gossip; used until the first poll of the server.
 std::vector<decisions::unit_hash> ReadyByGossip(const node::member_view& view,
                                                 const cell_state& cell,
                                                 const std::string& server) {
@@ -171,8 +172,8 @@
     backend.polled = true;
     SetDown(cell, *server, false);
     SetLeaving(cell, *server, report.draining);
-    // The report lags: what was in flight here since the last one is
-    // own_attempts.
+    // The report lags behind the local count: attempts that were in flight here
+    // at this or the last poll do not count as external.
     const std::int64_t own_attempts =
         std::max(server->in_flight, backend.in_flight_at_poll);
     server->external_in_flight =
@@ -213,7 +214,7 @@
                      base::time_point now) {
   server_view* server = FindServer(cell, ended.server);
   if (server != nullptr && ended.unreachable) {
-    // Out of choice until it answers a poll.
+    // The server is not selected again until it responds to a poll.
     SetDown(cell, *server, true);
   }
   if (server != nullptr && ended.draining)
@@ -227,8 +228,8 @@
   const bool refused =
       ended.outcome == static_cast<std::int32_t>(base::outcome::kNotRun) &&
       !ended.unreachable && !ended.draining;
-  // An engine that refuses has probably just unloaded it; its next report
-  // tells.
+  // An engine that refuses an attempt has probably just unloaded the unit. Its
+  // next report restores the unit if it is still loaded.
   if (refused && server != nullptr && backend != cell.backends.end() &&
       backend->second.is_engine) {
     std::erase(server->ready, attempt.unit);
--- a/src/scheduler/process/cell_state.h
+++ b/src/scheduler/process/cell_state.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Everything a scheduler keeps for one cell.
+// The state that a scheduler keeps for one cell.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_STATE_H_
 #define VALELEDGE_SCHEDULER_PROCESS_CELL_STATE_H_
 
@@ -21,7 +21,7 @@
 
 namespace valeledge::scheduler {
 
-// What one poll of a backend server found.
+// The result of one poll of a backend server.
 struct backend_report {
   std::string server;
   bool responded = false;
@@ -30,36 +30,37 @@
   decisions::engine_report engine;
 };
 
-// An attempt that was granted and has not ended.
+// A granted attempt that has not ended.
 struct running_attempt {
   std::string server;
   std::string partner;
   decisions::unit_hash unit = 0;
   double tokens = 0;
-  // When it was granted; the clock's start if an earlier owner granted it.
+  // When the attempt was granted; the clock's epoch if a previous owner of the
+  // cell granted it.
   base::time_point started;
-  // When its gateway last named it.
+  // When the gateway last reported the attempt as in flight.
   base::time_point last_reported;
 };
 
-// What a scheduler keeps of one backend server beside decisions::server_view.
+// State of one backend server in addition to decisions::server_view.
 struct backend_state {
   bool is_engine = true;
   std::int64_t missed_polls = 0;
   std::int64_t in_flight_at_poll = 0;
   bool polled = false;
   decisions::engine_report engine;
-  // The controller has not been told of the newest report.
+  // The latest state has not been reported to the controller.
   bool unreported = true;
 };
 
-// Requests for a model since the last report.
+// Requests for a model since the last report to the controller.
 struct demand_count {
   std::int64_t requests = 0;
   std::int64_t refused = 0;
 };
 
-// One cell. Changed by the functions below, on the decisions' thread.
+// Modified only by the functions below, on the decisions thread.
 struct cell_state {
   std::string name;
   std::string zone;
@@ -72,49 +73,52 @@
   base::time_point demand_since;
 };
 
-// Brings servers and weights up to a table revision; what is known of servers
-// that stay is kept.
+// Updates servers and partner weights to a table revision. The state of servers
+// that remain in the table is preserved.
 void ApplyTable(cell_state& cell,
                 const table::snapshot& table,
                 const node::member_view& view);
 
-// Sets the limits of the table; `shares` holds the part of each limited row
-// that this cell may give out, by the row's key.
+// Sets the limits of the table. `shares` holds the fraction of each row's limit
+// that this cell may grant, by the row's key.
 void ApplyLimits(cell_state& cell,
                  const table::snapshot& table,
                  const std::map<std::string, double>& shares,
                  base::time_point now);
 
-// Takes in the result of a poll. True if what is ready here has changed.
+// Applies the result of a poll. Returns whether the server's ready units or its
+// availability changed.
 bool ApplyReport(cell_state& cell,
                  const backend_report& report,
                  const table::snapshot& table,
                  std::int64_t polls_to_down);
 
-// Takes in the addresses of hosts that are leaving; true if anything changed.
+// Marks the servers on leaving hosts, given by address. Returns whether any
+// server changed.
 bool ApplyLeavingHosts(cell_state& cell, const std::set<std::string>& leaving);
 
-// Ends an attempt as its gateway told; unknown ones are ignored.
+// Ends an attempt as reported by its gateway. For an unknown attempt, only the
+// reported state of its server is applied.
 void ApplyAttemptEnd(cell_state& cell,
                      const wire::attempt_end& ended,
                      base::time_point now);
 
-// Takes in what a gateway has in flight here: keeps alive what is known and
-// learns what an earlier owner granted.
+// Applies a gateway's list of attempts in flight: refreshes known attempts and
+// adds those that a previous owner of the cell granted.
 void ApplyInFlight(cell_state& cell,
                    const wire::in_flight_report& report,
                    base::time_point now);
 
-// Ends attempts that no gateway has named for `expiry`.
+// Ends attempts that no gateway has reported for `expiry`.
 void ExpireAttempts(cell_state& cell,
                     std::chrono::microseconds expiry,
                     base::time_point now);
 
-// What gossip tells of the cell.
+// The records that gossip carries for the cell.
 wire::cell_load LoadOf(const cell_state& cell);
 wire::cell_ready ReadyOf(const cell_state& cell);
 
-// Units that an engine with these artifacts serves.
+// Returns the units that an engine can serve with its loaded artifacts.
 std::vector<decisions::unit_hash> UnitsOf(const table::snapshot& table,
                                           const decisions::engine_report& from);
 
--- a/src/scheduler/process/claim_batcher.cc
+++ b/src/scheduler/process/claim_batcher.cc
@@ -27,14 +27,15 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// A lease for claims is used for new ones during this part of the retention
-// and lasts so much longer that each claim is kept long enough.
+// A store lease is attached to new claims for this part of the retention
+// (1/24). It outlasts the retention by that time, so that its last claims are
+// retained long enough too.
 constexpr int kLeasesPerRetention = 24;
 
 std::string KeyOf(const std::string& service,
                   const std::string& partner,
                   const std::string& idempotency_key) {
-  // Hashed, so that any text makes a key of bounded length.
+  // Hashed to bound the key's length for any text.
   const std::string text = partner + "\n" + idempotency_key;
   return std::string(store::kClaimPrefix) + service + "/" +
          std::to_string(base::StableHash(text)) + "-" +
@@ -82,7 +83,7 @@
   return claim;
 }
 
-// What a claim that exists already means for a new wish.
+// Returns the result of a new request for a claim that already exists.
 base::result<claim_result> ResultOfExisting(
     const std::vector<store::kv_pair>& pairs,
     const claim_request& request) {
@@ -99,11 +100,11 @@
     return claim->result;
   if (claim->state == kStateNotKept) {
     return base::Unknown(result_code::kAnswerNotKept,
-                         "the call ran once; its answer was not kept");
+                         "the call ran once; its response was not stored");
   }
   return base::Unknown(result_code::kClaimInProgress,
-                       "an earlier submission under this key has not been "
-                       "answered yet");
+                       "an earlier submission under this key has no "
+                       "response yet");
 }
 
 }  // namespace
@@ -135,7 +136,7 @@
       settings_.claim_retention / kLeasesPerRetention;
   if (lease_ != 0 && now < lease_until_)
     co_return true;
-  // One asks, the others of the moment wait for its answer.
+  // Only one coroutine requests the lease; concurrent ones wait for the result.
   asio::steady_timer timer(context_);
   while (granting_lease_) {
     timer.expires_after(std::chrono::milliseconds(1));
@@ -169,7 +170,7 @@
   co_return std::move(*entry->result);
 }
 
-// Two claims of one key must not share a write.
+// Operations on the same key must not share a write.
 std::vector<std::shared_ptr<claim_batcher::pending>>
 claim_batcher::TakeBatch() {
   std::vector<std::shared_ptr<pending>> batch;
@@ -203,7 +204,7 @@
     for (std::size_t i = 0; i < batch.size(); ++i) {
       if (complete) {
         auto result = written->results[i];
-        // A put's revision is that of the transaction.
+        // A put has the revision of its transaction.
         if (result.pairs.empty()) {
           store::kv_pair revision;
           revision.mod_revision = written->revision;
@@ -211,10 +212,10 @@
         }
         batch[i]->result = std::move(result);
       } else {
-        batch[i]->result = written
-                               ? base::Unknown(result_code::kPlatformAnswerLost,
-                                               "an answer with a part missing")
-                               : tl::make_unexpected(written.error());
+        batch[i]->result =
+            written ? base::Unknown(result_code::kPlatformAnswerLost,
+                                    "the store's response is incomplete")
+                    : tl::make_unexpected(written.error());
       }
       batch[i]->done.cancel();
     }
@@ -302,7 +303,7 @@
     co_return tl::make_unexpected(written.error());
   if (!written->succeeded) {
     co_return base::NotRun(result_code::kRevisionConflict,
-                           "the claim is no longer what it was");
+                           "the claim was changed concurrently");
   }
   co_return base::result<void>();
 }
--- a/src/scheduler/process/claim_batcher.h
+++ b/src/scheduler/process/claim_batcher.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Claims of calls that may not be repeated, written many at a time.
+// Claims of non-repeatable calls, written in batches.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_CLAIM_BATCHER_H_
 #define VALELEDGE_SCHEDULER_PROCESS_CLAIM_BATCHER_H_
 
@@ -20,17 +20,17 @@
 
 namespace valeledge::scheduler {
 
-// Who wants to run what under which key.
+// A request to run a call at most once under an idempotency key.
 struct claim_request {
   std::string service;
   std::string partner;
   std::string idempotency_key;
-  // The request that claims; asking again with the same id finds its claim.
+  // Id of the claiming request. A retry with the same id gets the same claim.
   std::string claim_id;
   std::string digest;
 };
 
-// A claim that was had, or what an earlier submission left behind.
+// A created claim, or the recorded response of an earlier submission.
 struct claim_result {
   std::int64_t revision = 0;
   bool recorded = false;
@@ -39,7 +39,7 @@
   std::string content_type;
 };
 
-// Lives on the platform's thread.
+// Runs on the platform thread.
 class claim_batcher {
  public:
   claim_batcher(boost::asio::io_context& context,
@@ -49,12 +49,13 @@
   ~claim_batcher();
 
   // Creates the claim. Errors: kClaimInProgress (another request holds it),
-  // kKeyReused (for another request), kAnswerNotKept, kClaimUnavailable (not
-  // written: nothing may be sent).
+  // kKeyReused (the key belongs to another request), kAnswerNotKept,
+  // kClaimUnavailable (not written; the call must not be sent).
   boost::asio::awaitable<base::result<claim_result>> Claim(
       claim_request request);
 
-  // Records the answer of a claim, or releases it because nothing ran.
+  // Records the response of a claimed call, or releases the claim if the call
+  // did not run.
   boost::asio::awaitable<base::result<void>> Update(wire::claim_update update);
 
  private:
--- a/src/scheduler/process/limit_shares.cc
+++ b/src/scheduler/process/limit_shares.cc
@@ -18,7 +18,7 @@
   return row.limit_requests != 0 || row.limit_tokens != 0;
 }
 
-// What is ready in each cell of the table.
+// Returns the ready units of each cell in the table.
 std::vector<std::set<unit_hash>> ReadyInCells(const table::snapshot& table,
                                               const node::member_view& view) {
   std::vector<std::set<unit_hash>> out;
@@ -37,7 +37,7 @@
   return out;
 }
 
-// The units whose requests count against a row's limits.
+// Returns the units whose requests count against a row's limits.
 std::vector<unit_hash> UnitsOf(const table::snapshot& table,
                                const table::row& row) {
   if (row.kind != table::row_kind::kPartner)
--- a/src/scheduler/process/limit_shares.h
+++ b/src/scheduler/process/limit_shares.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Which part of each limit one cell may give out.
+// The fraction of each limit that one cell may grant.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_LIMIT_SHARES_H_
 #define VALELEDGE_SCHEDULER_PROCESS_LIMIT_SHARES_H_
 
@@ -11,9 +11,10 @@
 
 namespace valeledge::scheduler {
 
-// For the key of each row that has a limit, one over the number of cells that
-// can serve it now by gossip: those where the model or service is ready, or
-// any of the partner's. A row that is ready nowhere has a share of one.
+// Returns a share by key for each row that has a limit: 1 / n, where n is the
+// number of cells that can serve the row according to gossip. A cell can serve
+// a model or service that is ready there, and a partner if any of the partner's
+// models or services is. A row that is ready in no cell has a share of 1.
 std::map<std::string, double> LimitShares(const table::snapshot& table,
                                           const node::member_view& view);
 
--- a/src/scheduler/process/scheduler.cc
+++ b/src/scheduler/process/scheduler.cc
@@ -15,10 +15,10 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// The set of polled backend servers follows ownership this often.
+// Interval at which the polled backend servers are matched to the owned cells.
 constexpr auto kBackendUpdateInterval = std::chrono::milliseconds(200);
 
-// A status without the cells is given if they take longer than this.
+// The status omits the cells if they take longer than this to collect.
 constexpr auto kStatusTimeout = std::chrono::milliseconds(200);
 
 constexpr auto kClaimRetryAfter = std::chrono::milliseconds(1000);
@@ -137,7 +137,7 @@
   if (!result) {
     co_return RefusalOf(base::MakeError(result_code::kRingFull,
                                         base::outcome::kNotRun,
-                                        "too many claims wait"));
+                                        "the claim queue is full"));
   }
   if (!*result)
     co_return RefusalOf(result->error());
@@ -172,7 +172,7 @@
   if (!granted) {
     granted = RefusalOf(base::MakeError(result_code::kRingFull,
                                         base::outcome::kNotRun,
-                                        "too many requests wait"));
+                                        "the request queue is full"));
   }
   reply.__set_granted(*granted);
   co_return reply;
--- a/src/scheduler/process/scheduler.h
+++ b/src/scheduler/process/scheduler.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The process valeledge-scheduler.
+// The valeledge-scheduler process.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_SCHEDULER_H_
 #define VALELEDGE_SCHEDULER_PROCESS_SCHEDULER_H_
 
@@ -18,8 +18,8 @@
 
 namespace valeledge::scheduler {
 
-// Decides for the cells that rendezvous hashing gives it. Threads beside the
-// node's: "decisions" and "backends".
+// Admits requests for the cells assigned to it by rendezvous hashing. Adds the
+// threads "decisions" and "backends" to those of the node.
 class scheduler {
  public:
   explicit scheduler(scheduler_settings settings);
--- a/src/scheduler/process/scheduler_settings.cc
+++ b/src/scheduler/process/scheduler_settings.cc
@@ -12,30 +12,30 @@
   node::Describe(settings.shared, schema);
   schema.Section("backends")
       .Duration("poll_interval", &settings.poll_interval, milliseconds(20),
-                minutes(1),
-                "Each backend server is asked for its load so often.")
+                minutes(1), "Interval between load polls of a backend server.")
       .Duration("poll_timeout", &settings.poll_timeout, milliseconds(10),
-                minutes(1), "Longest wait for that answer.")
+                minutes(1), "Maximum wait for a poll response.")
       .Integer("polls_to_down", &settings.polls_to_down, 1, 100,
-               "Polls without an answer until a backend server counts as down.")
+               "Missed polls until a backend server counts as down.")
       .Duration("report_interval", &settings.report_interval, milliseconds(50),
-                minutes(1), "The controller is told of changes so often.");
+                minutes(1), "Interval between reports to the controller.");
   schema.Section("queue")
       .Integer("limit", &settings.queue_limit, 1, 1'000'000,
-               "Requests that may wait in one cell.")
+               "Maximum queued requests per cell.")
       .Number("patience", &settings.queue_wait_fraction, 0.01, 10,
-              "Part of its first-token target that a request may wait.")
+              "Fraction of its first-token target that a request may wait.")
       .Duration("attempt_expiry", &settings.attempt_expiry, seconds(3),
-                hours(1), "An attempt that its gateway no longer names ends.");
+                hours(1),
+                "An attempt that its gateway no longer reports ends.");
   schema.Section("claims")
       .Duration("interval", &settings.claim_interval, milliseconds(1),
-                seconds(1), "Least time between two writes of claims.")
+                seconds(1), "Minimum time between two claim writes.")
       .Integer("per_write", &settings.claims_per_write, 1, 60,
-               "Claims in one write.")
+               "Maximum claims per write.")
       .Duration("retention", &settings.claim_retention, minutes(1),
-                hours(24 * 30), "Claims are kept at least this long.")
+                hours(24 * 30), "Minimum retention of claims.")
       .Integer("kept_answer_bytes", &settings.kept_answer_bytes, 0, 900'000,
-               "Largest answer that is kept with its claim.");
+               "Maximum size of a response stored with its claim.");
   return schema;
 }
 
--- a/src/scheduler/process/scheduler_settings.h
+++ b/src/scheduler/process/scheduler_settings.h
@@ -9,7 +9,7 @@
 
 namespace valeledge::scheduler {
 
-// How backend servers are watched, requests queued and claims written.
+// Configures backend polling, the request queue and claim writes.
 struct scheduler_settings {
   node::node_settings shared;
   std::chrono::microseconds poll_interval = std::chrono::seconds(2);
@@ -17,7 +17,7 @@
   std::int64_t polls_to_down = 2;
   std::chrono::microseconds report_interval = std::chrono::seconds(2);
   std::int64_t queue_limit = 1000;
-  // A queued request may use up this part of its first-token target.
+  // Fraction of its first-token target that a request may spend in the queue.
   double queue_wait_fraction = 0.8;
   std::chrono::microseconds attempt_expiry = std::chrono::seconds(10);
   std::chrono::microseconds claim_interval = std::chrono::milliseconds(10);
@@ -26,7 +26,7 @@
   std::int64_t kept_answer_bytes = 64 * 1024;
 };
 
-// The schema of the program's settings file.
+// Returns the schema of the program's settings file.
 settings::schema_builder Describe(scheduler_settings& settings);
 
 }  // namespace valeledge::scheduler
--- a/tests/auto/controller/test_orders.cc
+++ b/tests/auto/controller/test_orders.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The weight store is spared, and ends of orders survive their telling.
+// Limits on weight store loads, and the wire encoding of order ends.
 #include <boost/test/unit_test.hpp>
 
 #include "controller/process/order_end_wire.h"
@@ -32,7 +32,7 @@
     now += 100ms;
     started += limiter.TryStartLoad(0, now) ? 1 : 0;
   }
-  // Two a second for ten seconds.
+  // 2 loads per second for 10 seconds.
   BOOST_TEST(started >= 19);
   BOOST_TEST(started <= 20);
 }
@@ -52,7 +52,7 @@
   BOOST_TEST(!limiter.TryStartLoad(3, now));
 }
 
-BOOST_AUTO_TEST_CASE(the_end_of_an_order_survives_its_telling) {
+BOOST_AUTO_TEST_CASE(an_order_end_survives_encoding_and_decoding) {
   order_end end;
   end.server = "s";
   end.order_id = "1";
--- a/tests/auto/scheduler/test_limit_shares.cc
+++ b/tests/auto/scheduler/test_limit_shares.cc
@@ -59,8 +59,8 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(a_limit_is_divided_among_the_cells_that_can_serve_it) {
-  // Before, it was divided among all cells: a service in one of four had a
-  // quarter of its limit.
+  // Guards against dividing a limit among all cells, which leaves a service in
+  // one of four cells with a quarter of its limit.
   node::member_view view;
   SetReady(view, "a", {"model/m", "model/n"});
   SetReady(view, "b", {"model/m"});
