--- a/src/controller/process/controller.h
+++ b/src/controller/process/controller.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The process valeledge-controller.
+// The valeledge-controller process.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_CONTROLLER_H_
 #define VALELEDGE_CONTROLLER_PROCESS_CONTROLLER_H_
 
@@ -10,14 +10,14 @@
 #include "controller/process/controller_settings.h"
 #include "controller/process/order_sender.h"
 #include "controller/process/planner.h"
-#include "controller/process/reservation_book.h"
+#include "controller/process/reservation_store.h"
 #include "node/node.h"
 #include "store/lease_keeper.h"
 
 namespace valeledge::controller {
 
-// One of several; the one that holds the lease plans placement. Threads
-// beside the node's: "planning" and "orders".
+// Several controllers may run; only the lease holder plans placement. Adds the
+// threads "planning" and "orders" to those of the node.
 class controller {
  public:
   explicit controller(controller_settings settings);
@@ -38,7 +38,7 @@
   base::duty planning_{"planning"};
   base::duty orders_{"orders"};
   std::optional<store::lease_keeper> lease_;
-  std::optional<reservation_book> book_;
+  std::optional<reservation_store> reservations_;
   std::optional<order_sender> sender_;
   std::optional<planner> planner_;
 };
--- a/src/controller/process/order_end_wire.h
+++ b/src/controller/process/order_end_wire.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The end of an order as one controller tells it to another.
+// Wire encoding of an order's end, sent from one controller to another.
 #ifndef VALELEDGE_CONTROLLER_PROCESS_ORDER_END_WIRE_H_
 #define VALELEDGE_CONTROLLER_PROCESS_ORDER_END_WIRE_H_
 
@@ -9,7 +9,7 @@
 namespace valeledge::controller {
 
 wire::order_ended Encode(const order_end& end);
-order_end Decode(const wire::order_ended& told);
+order_end Decode(const wire::order_ended& message);
 
 }  // namespace valeledge::controller
 
--- a/src/gateway/process/request_quarantine.cc
+++ b/src/gateway/process/request_quarantine.cc
@@ -67,7 +67,8 @@
     if (!update)
       continue;
     decisions::DropCleared(observed_, *update);
-    for (const std::uint64_t digest : decisions::ApplyUpdate(known_, *update, now))
+    for (const std::uint64_t digest :
+         decisions::ApplyUpdate(known_, *update, now))
       LogQuarantined(digest);
   }
 }
--- a/src/scheduler/process/backend_poller.cc
+++ b/src/scheduler/process/backend_poller.cc
@@ -20,7 +20,7 @@
 backend_poller::backend_poller(base::duty& backends,
                                const scheduler_settings& settings,
                                report_sink sink)
-    : backends_duty_(backends),
+    : poll_thread_(backends),
       settings_(settings),
       sink_(std::move(sink)),
       http_(backends.context()) {}
@@ -32,7 +32,7 @@
     const auto known = before.find(server);
     if (known != before.end() && known->second == backend)
       continue;
-    asio::co_spawn(backends_duty_.context(), PollLoop(backend), asio::detached);
+    asio::co_spawn(poll_thread_.context(), PollLoop(backend), asio::detached);
   }
 }
 
@@ -41,21 +41,22 @@
   backend_report report;
   report.server = backend.server;
   const std::string_view path = backend.is_engine ? "/load" : "/healthz";
-  const auto answer = co_await http_.Fetch(
+  const auto response = co_await http_.Fetch(
       backend.address, net::MakeRequest(boost::beast::http::verb::get, path),
       settings_.poll_timeout);
-  if (!answer)
+  if (!response)
     co_return report;
   if (!backend.is_engine) {
-    // Any answer shows that a plain service is there; 503 that it is leaving.
-    report.answered = true;
-    report.draining = answer->result_int() == 503;
+    // Any response shows that a plain service is reachable; 503 means that it
+    // is draining.
+    report.responded = true;
+    report.draining = response->result_int() == 503;
     co_return report;
   }
-  const auto object = base::ParseJsonObject(answer->body());
-  if (!object || answer->result_int() != 200)
+  const auto object = base::ParseJsonObject(response->body());
+  if (!object || response->result_int() != 200)
     co_return report;
-  report.answered = true;
+  report.responded = true;
   report.in_flight = base::IntegerField(*object, "in_flight");
   report.draining = base::BoolField(*object, "draining");
   report.engine = node::ReadEngineReport(*object);
@@ -64,21 +65,21 @@
 
 asio::awaitable<void> backend_poller::PollLoop(polled_backend backend) {
   std::mt19937_64 random{std::random_device{}()};
-  asio::steady_timer timer(backends_duty_.context());
+  asio::steady_timer timer(poll_thread_.context());
   while (true) {
     const backend_report report = co_await Poll(backend);
     bytes_ = http_.bytes();
     const auto current = backends_.find(backend.server);
-    const bool wanted =
+    const bool still_polled =
         current != backends_.end() && current->second == backend;
-    if (!wanted)
+    if (!still_polled)
       co_return;
     sink_(backend.cell, report);
-    // Spread, so that the polls of many backend servers do not coincide.
+    // 10 % jitter keeps the polls of many backend servers from coinciding.
     const auto interval = settings_.poll_interval.count();
-    std::uniform_int_distribution<std::int64_t> any(interval * 9 / 10,
-                                                    interval * 11 / 10);
-    timer.expires_after(std::chrono::microseconds(any(random)));
+    std::uniform_int_distribution<std::int64_t> jittered_interval(
+        interval * 9 / 10, interval * 11 / 10);
+    timer.expires_after(std::chrono::microseconds(jittered_interval(random)));
     co_await timer.async_wait(kAwait);
   }
 }
--- a/src/scheduler/process/cell_reporter.h
+++ b/src/scheduler/process/cell_reporter.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Tells the controller that holds the lease what the cells' engines report.
+// Forwards the reports of the cells' engines to the controller that holds the
+// lease.
 #ifndef VALELEDGE_SCHEDULER_PROCESS_CELL_REPORTER_H_
 #define VALELEDGE_SCHEDULER_PROCESS_CELL_REPORTER_H_
 
@@ -10,17 +11,17 @@
 
 #include "base/duty.h"
 #include "node/node.h"
-#include "scheduler/process/cell_book.h"
+#include "scheduler/process/cell_registry.h"
 
 namespace valeledge::scheduler {
 
-// Reports changes and demand; after a new controller has taken the lease,
-// everything. Lives on the decisions' thread.
+// Reports changes and demand, or the full state after a new controller has
+// acquired the lease. Runs on the decisions thread.
 class cell_reporter {
  public:
   cell_reporter(base::duty& decisions,
                 node::node& node,
-                cell_book& book,
+                cell_registry& registry,
                 const scheduler_settings& settings);
 
   void Start();
@@ -29,11 +30,11 @@
   boost::asio::awaitable<void> ReportLoop();
   boost::asio::awaitable<void> ReportCell(std::string cell,
                                           base::endpoint controller);
-  wire::cell_report Build(cell_state& cell);
+  wire::cell_report BuildReport(cell_state& cell);
 
   base::duty& decisions_;
   node::node& node_;
-  cell_book& book_;
+  cell_registry& registry_;
   const scheduler_settings& settings_;
   std::string last_controller_;
 };
--- a/src/scheduler/process/cell_state.cc
+++ b/src/scheduler/process/cell_state.cc
@@ -28,7 +28,8 @@
   return artifact.substr(0, artifact.rfind('@'));
 }
 
-// Until the first poll, what gossip says an earlier owner saw.
+// Returns the ready units that the previous owner of the cell announced by
+// gossip; used until the first poll of the server.
 std::vector<decisions::unit_hash> ReadyByGossip(const node::member_view& view,
                                                 const cell_state& cell,
                                                 const std::string& server) {
@@ -162,7 +163,7 @@
   const bool down_before = server->down;
   const bool leaving_before = server->leaving;
   const auto ready_before = server->ready;
-  if (!report.answered) {
+  if (!report.responded) {
     ++backend.missed_polls;
     if (backend.missed_polls >= polls_to_down)
       SetDown(cell, *server, true);
@@ -171,35 +172,36 @@
     backend.polled = true;
     SetDown(cell, *server, false);
     SetLeaving(cell, *server, report.draining);
-    // The report lags: what was in flight here since the last one is ours.
-    const std::int64_t ours =
+    // The report lags behind the local count: attempts that were in flight here
+    // at this or the last poll do not count as external.
+    const std::int64_t own_attempts =
         std::max(server->in_flight, backend.in_flight_at_poll);
     server->external_in_flight =
-        std::max<std::int64_t>(0, report.in_flight - ours);
+        std::max<std::int64_t>(0, report.in_flight - own_attempts);
     backend.in_flight_at_poll = server->in_flight;
     if (backend.is_engine) {
-      backend.untold |= !SameEngine(backend.engine, report.engine);
+      backend.unreported |= !SameEngine(backend.engine, report.engine);
       backend.engine = report.engine;
       server->ready = UnitsOf(table, report.engine);
     }
   }
   const bool state_changed =
       server->down != down_before || server->leaving != leaving_before;
-  backend.untold |= state_changed;
+  backend.unreported |= state_changed;
   return state_changed || server->ready != ready_before;
 }
 
-bool ApplyHostList(cell_state& cell, const std::set<std::string>& leaving) {
+bool ApplyLeavingHosts(cell_state& cell, const std::set<std::string>& leaving) {
   bool changed = false;
   for (server_view& server : cell.admission.servers) {
     const auto address = base::ParseEndpoint(server.address);
-    const bool goes = address && leaving.contains(address->address);
-    if (server.host_leaving == goes)
+    const bool is_leaving = address && leaving.contains(address->address);
+    if (server.host_leaving == is_leaving)
       continue;
-    server.host_leaving = goes;
-    cell.backends[server.name].untold = true;
+    server.host_leaving = is_leaving;
+    cell.backends[server.name].unreported = true;
     changed = true;
-    if (goes) {
+    if (is_leaving) {
       base::Log(kCategory, log_event::kServerLeaving,
                 {{"server", server.name}, {"cell", cell.name}});
     }
@@ -207,12 +209,12 @@
   return changed;
 }
 
-void ApplyEnd(cell_state& cell,
-              const wire::attempt_end& ended,
-              base::time_point now) {
+void ApplyAttemptEnd(cell_state& cell,
+                     const wire::attempt_end& ended,
+                     base::time_point now) {
   server_view* server = FindServer(cell, ended.server);
   if (server != nullptr && ended.unreachable) {
-    // Out of choice until it answers a poll.
+    // The server is not selected again until it responds to a poll.
     SetDown(cell, *server, true);
   }
   if (server != nullptr && ended.draining)
@@ -226,8 +228,8 @@
   const bool refused =
       ended.outcome == static_cast<std::int32_t>(base::outcome::kNotRun) &&
       !ended.unreachable && !ended.draining;
-  // An engine that refuses has probably just unloaded it; its next report
-  // tells.
+  // An engine that refuses an attempt has probably just unloaded the unit. Its
+  // next report restores the unit if it is still loaded.
   if (refused && server != nullptr && backend != cell.backends.end() &&
       backend->second.is_engine) {
     std::erase(server->ready, attempt.unit);
@@ -237,9 +239,9 @@
                                attempt.tokens,
                                static_cast<double>(ended.tokens),
                                {}};
-  const bool whole =
+  const bool completed =
       ended.outcome == static_cast<std::int32_t>(base::outcome::kCompleted);
-  if (whole && attempt.started.time_since_epoch().count() != 0) {
+  if (completed && attempt.started.time_since_epoch().count() != 0) {
     end.took = std::chrono::duration_cast<std::chrono::microseconds>(
         now - attempt.started);
   }
@@ -250,9 +252,9 @@
                    const wire::in_flight_report& report,
                    base::time_point now) {
   for (const wire::attempt_end& each : report.attempts) {
-    const auto [found, fresh] = cell.running.try_emplace(each.attempt_id);
-    found->second.seen = now;
-    if (!fresh)
+    const auto [found, inserted] = cell.running.try_emplace(each.attempt_id);
+    found->second.last_reported = now;
+    if (!inserted)
       continue;
     found->second.server = each.server;
     found->second.partner = each.partner;
@@ -267,7 +269,7 @@
                     base::time_point now) {
   std::erase_if(cell.running, [&](const auto& entry) {
     const running_attempt& attempt = entry.second;
-    if (now - attempt.seen < expiry)
+    if (now - attempt.last_reported < expiry)
       return false;
     decisions::EndAttempt(
         cell.admission,
--- a/src/scheduler/process/claim_batcher.cc
+++ b/src/scheduler/process/claim_batcher.cc
@@ -27,14 +27,15 @@
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-// A lease for claims is used for new ones during this part of the retention
-// and lasts so much longer that each claim is kept long enough.
-constexpr int kLeaseUses = 24;
+// A store lease is attached to new claims for this part of the retention
+// (1/24). It outlasts the retention by that time, so that its last claims are
+// retained long enough too.
+constexpr int kLeasesPerRetention = 24;
 
 std::string KeyOf(const std::string& service,
                   const std::string& partner,
                   const std::string& idempotency_key) {
-  // Hashed, so that any text makes a key of bounded length.
+  // Hashed to bound the key's length for any text.
   const std::string text = partner + "\n" + idempotency_key;
   return std::string(store::kClaimPrefix) + service + "/" +
          std::to_string(base::StableHash(text)) + "-" +
@@ -45,22 +46,22 @@
   std::string claim_id;
   std::string digest;
   std::string state;
-  claim_answer answer;
+  claim_result result;
 };
 
-constexpr std::string_view kClaimed = "claimed";
-constexpr std::string_view kAnswered = "answered";
-constexpr std::string_view kNotKept = "answered, not kept";
+constexpr std::string_view kStateClaimed = "claimed";
+constexpr std::string_view kStateAnswered = "answered";
+constexpr std::string_view kStateNotKept = "answered, not kept";
 
 std::string Encode(const stored_claim& claim) {
   json::object object;
   object["claim"] = claim.claim_id;
   object["digest"] = claim.digest;
   object["state"] = claim.state;
-  if (claim.state == kAnswered) {
-    object["status"] = claim.answer.status;
-    object["answer"] = claim.answer.answer;
-    object["content_type"] = claim.answer.content_type;
+  if (claim.state == kStateAnswered) {
+    object["status"] = claim.result.status;
+    object["answer"] = claim.result.body;
+    object["content_type"] = claim.result.content_type;
   }
   return json::serialize(object);
 }
@@ -73,36 +74,37 @@
   claim.claim_id = base::StringField(*object, "claim");
   claim.digest = base::StringField(*object, "digest");
   claim.state = base::StringField(*object, "state");
-  claim.answer.revision = pair.mod_revision;
-  claim.answer.recorded = claim.state == kAnswered;
-  claim.answer.status =
+  claim.result.revision = pair.mod_revision;
+  claim.result.recorded = claim.state == kStateAnswered;
+  claim.result.status =
       static_cast<std::int32_t>(base::IntegerField(*object, "status"));
-  claim.answer.answer = base::StringField(*object, "answer");
-  claim.answer.content_type = base::StringField(*object, "content_type");
+  claim.result.body = base::StringField(*object, "answer");
+  claim.result.content_type = base::StringField(*object, "content_type");
   return claim;
 }
 
-// What a claim that exists already means for a new wish.
-base::result<claim_answer> Judge(const std::vector<store::kv_pair>& pairs,
-                                 const claim_wish& wish) {
+// Returns the result of a new request for a claim that already exists.
+base::result<claim_result> ResultOfExisting(
+    const std::vector<store::kv_pair>& pairs,
+    const claim_request& request) {
   const auto claim = pairs.empty() ? std::nullopt : Decode(pairs.front());
   if (!claim) {
     return base::NotRun(result_code::kClaimUnavailable,
                         "the claim could not be read");
   }
-  if (claim->digest != wish.digest) {
+  if (claim->digest != request.digest) {
     return base::NotRun(result_code::kKeyReused,
                         "this Idempotency-Key was used for another request");
   }
-  if (claim->answer.recorded || claim->claim_id == wish.claim_id)
-    return claim->answer;
-  if (claim->state == kNotKept) {
+  if (claim->result.recorded || claim->claim_id == request.claim_id)
+    return claim->result;
+  if (claim->state == kStateNotKept) {
     return base::Unknown(result_code::kAnswerNotKept,
-                         "the call ran once; its answer was not kept");
+                         "the call ran once; its response was not stored");
   }
   return base::Unknown(result_code::kClaimInProgress,
-                       "an earlier submission under this key has not been "
-                       "answered yet");
+                       "an earlier submission under this key has no "
+                       "response yet");
 }
 
 }  // namespace
@@ -128,27 +130,29 @@
 
 claim_batcher::~claim_batcher() = default;
 
-asio::awaitable<bool> claim_batcher::HasLease() {
+asio::awaitable<bool> claim_batcher::EnsureLease() {
   const auto now = std::chrono::steady_clock::now();
-  const auto use = settings_.claim_retention / kLeaseUses;
+  const auto rotation_interval =
+      settings_.claim_retention / kLeasesPerRetention;
   if (lease_ != 0 && now < lease_until_)
     co_return true;
-  // One asks, the others of the moment wait for its answer.
+  // Only one coroutine requests the lease; concurrent ones wait for the result.
   asio::steady_timer timer(context_);
-  while (leasing_) {
+  while (granting_lease_) {
     timer.expires_after(std::chrono::milliseconds(1));
     co_await timer.async_wait(kAwait);
   }
   if (lease_ != 0 && now < lease_until_)
     co_return true;
-  leasing_ = true;
-  const auto granted = co_await service_.GrantLease(
-      std::chrono::ceil<std::chrono::seconds>(settings_.claim_retention + use));
-  leasing_ = false;
+  granting_lease_ = true;
+  const auto granted =
+      co_await service_.GrantLease(std::chrono::ceil<std::chrono::seconds>(
+          settings_.claim_retention + rotation_interval));
+  granting_lease_ = false;
   if (!granted)
     co_return false;
   lease_ = *granted;
-  lease_until_ = now + use;
+  lease_until_ = now + rotation_interval;
   co_return true;
 }
 
@@ -166,21 +170,21 @@
   co_return std::move(*entry->result);
 }
 
-// Two claims of one key must not share a write.
+// Operations on the same key must not share a write.
 std::vector<std::shared_ptr<claim_batcher::pending>>
 claim_batcher::TakeBatch() {
   std::vector<std::shared_ptr<pending>> batch;
   std::set<std::string> keys;
-  std::deque<std::shared_ptr<pending>> left;
+  std::deque<std::shared_ptr<pending>> remaining;
   const auto limit = static_cast<std::size_t>(settings_.claims_per_write);
   for (auto& each : waiting_) {
     const bool fits = batch.size() < limit && keys.insert(each->key).second;
     if (fits)
       batch.push_back(std::move(each));
     else
-      left.push_back(std::move(each));
+      remaining.push_back(std::move(each));
   }
-  waiting_ = std::move(left);
+  waiting_ = std::move(remaining);
   return batch;
 }
 
@@ -189,19 +193,18 @@
   while (!waiting_.empty()) {
     const auto started = std::chrono::steady_clock::now();
     const auto batch = TakeBatch();
-    store::kv_transaction whole;
+    store::kv_transaction combined;
     for (const auto& each : batch)
-      whole.on_success.push_back(store::Nested(each->transaction));
+      combined.on_success.push_back(store::Nested(each->transaction));
     metrics_.Counter("valeledge_claim_writes_total").Add();
     metrics_.Counter("valeledge_claim_operations_total")
         .Add(static_cast<std::int64_t>(batch.size()));
-    const auto written = co_await service_.Run(std::move(whole));
-    const bool whole_answer =
-        written && written->results.size() == batch.size();
+    const auto written = co_await service_.Run(std::move(combined));
+    const bool complete = written && written->results.size() == batch.size();
     for (std::size_t i = 0; i < batch.size(); ++i) {
-      if (whole_answer) {
+      if (complete) {
         auto result = written->results[i];
-        // A put's revision is that of the transaction.
+        // A put has the revision of its transaction.
         if (result.pairs.empty()) {
           store::kv_pair revision;
           revision.mod_revision = written->revision;
@@ -209,10 +212,10 @@
         }
         batch[i]->result = std::move(result);
       } else {
-        batch[i]->result = written
-                               ? base::Unknown(result_code::kPlatformAnswerLost,
-                                               "an answer with a part missing")
-                               : tl::make_unexpected(written.error());
+        batch[i]->result =
+            written ? base::Unknown(result_code::kPlatformAnswerLost,
+                                    "the store's response is incomplete")
+                    : tl::make_unexpected(written.error());
       }
       batch[i]->done.cancel();
     }
@@ -222,53 +225,55 @@
   writing_ = false;
 }
 
-asio::awaitable<base::result<claim_answer>> claim_batcher::ReadBack(
-    claim_wish wish) {
+asio::awaitable<base::result<claim_result>> claim_batcher::ReadBack(
+    claim_request request) {
   const std::string key =
-      KeyOf(wish.service, wish.partner, wish.idempotency_key);
-  store::kv_transaction look;
-  look.on_success.push_back(store::Get(key));
-  const auto seen = co_await service_.Run(std::move(look));
-  const bool found =
-      seen && !seen->results.empty() && !seen->results.front().pairs.empty();
+      KeyOf(request.service, request.partner, request.idempotency_key);
+  store::kv_transaction query;
+  query.on_success.push_back(store::Get(key));
+  const auto read_result = co_await service_.Run(std::move(query));
+  const bool found = read_result && !read_result->results.empty() &&
+                     !read_result->results.front().pairs.empty();
   if (!found) {
     base::Log("claims", base::log_event::kClaimLost,
-              {{"request", wish.claim_id}});
+              {{"request", request.claim_id}});
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the claim could not be recorded");
   }
-  co_return Judge(seen->results.front().pairs, wish);
+  co_return ResultOfExisting(read_result->results.front().pairs, request);
 }
 
-asio::awaitable<base::result<claim_answer>> claim_batcher::Claim(
-    claim_wish wish) {
-  const bool leased = co_await HasLease();
-  if (!leased) {
+asio::awaitable<base::result<claim_result>> claim_batcher::Claim(
+    claim_request request) {
+  const bool has_lease = co_await EnsureLease();
+  if (!has_lease) {
     co_return base::NotRun(result_code::kClaimUnavailable,
                            "the key-value service granted no lease");
   }
   const std::string key =
-      KeyOf(wish.service, wish.partner, wish.idempotency_key);
-  stored_claim fresh{wish.claim_id, wish.digest, std::string(kClaimed), {}};
+      KeyOf(request.service, request.partner, request.idempotency_key);
+  stored_claim new_claim{
+      request.claim_id, request.digest, std::string(kStateClaimed), {}};
   store::kv_transaction create;
   create.conditions.push_back(store::Absent(key));
-  create.on_success.push_back(store::Put(key, Encode(fresh), lease_));
+  create.on_success.push_back(store::Put(key, Encode(new_claim), lease_));
   create.on_failure.push_back(store::Get(key));
   const auto written = co_await Write(key, std::move(create));
   if (!written) {
     if (written.error().what_ran == base::outcome::kUnknown)
-      co_return co_await ReadBack(std::move(wish));
+      co_return co_await ReadBack(std::move(request));
     co_return base::NotRun(result_code::kClaimUnavailable,
                            written.error().message);
   }
   if (written->succeeded) {
-    claim_answer answer;
-    answer.revision = written->pairs.front().mod_revision;
-    co_return answer;
+    claim_result result;
+    result.revision = written->pairs.front().mod_revision;
+    co_return result;
   }
-  co_return Judge(written->nested.empty() ? std::vector<store::kv_pair>()
-                                          : written->nested.front().pairs,
-                  wish);
+  co_return ResultOfExisting(written->nested.empty()
+                                 ? std::vector<store::kv_pair>()
+                                 : written->nested.front().pairs,
+                             request);
 }
 
 asio::awaitable<base::result<void>> claim_batcher::Update(
@@ -280,23 +285,25 @@
   if (update.release) {
     change.on_success.push_back(store::Delete(key));
   } else {
-    const auto kept = static_cast<std::size_t>(settings_.kept_answer_bytes);
-    const bool keeps = update.answer.size() <= kept;
-    stored_claim answered{update.claim_id,
-                          update.digest,
-                          std::string(keeps ? kAnswered : kNotKept),
-                          {}};
-    answered.answer.status = update.status;
-    answered.answer.answer = std::move(update.answer);
-    answered.answer.content_type = std::move(update.content_type);
-    change.on_success.push_back(store::Put(key, Encode(answered), lease_));
+    const auto max_bytes =
+        static_cast<std::size_t>(settings_.kept_answer_bytes);
+    const bool retained = update.answer.size() <= max_bytes;
+    stored_claim completed{
+        update.claim_id,
+        update.digest,
+        std::string(retained ? kStateAnswered : kStateNotKept),
+        {}};
+    completed.result.status = update.status;
+    completed.result.body = std::move(update.answer);
+    completed.result.content_type = std::move(update.content_type);
+    change.on_success.push_back(store::Put(key, Encode(completed), lease_));
   }
   const auto written = co_await Write(key, std::move(change));
   if (!written)
     co_return tl::make_unexpected(written.error());
   if (!written->succeeded) {
     co_return base::NotRun(result_code::kRevisionConflict,
-                           "the claim is no longer what it was");
+                           "the claim was changed concurrently");
   }
   co_return base::result<void>();
 }
