--- a/src/gateway/process/caller_frontend.cc
+++ b/src/gateway/process/caller_frontend.cc
@@ -7,8 +7,8 @@
 
 #include "base/logging.h"
 #include "gateway/constants.h"
-#include "gateway/request/responses.h"
 #include "gateway/request/chat_exchange.h"
+#include "gateway/request/responses.h"
 #include "gateway/request/service_exchange.h"
 
 namespace valeledge::gateway {
--- a/src/gateway/process/grant_client.h
+++ b/src/gateway/process/grant_client.h
@@ -16,8 +16,8 @@
 
 #include "base/error.h"
 #include "decisions/routing.h"
-#include "gateway/process/request_quarantine.h"
 #include "gateway/process/fallback_router.h"
+#include "gateway/process/request_quarantine.h"
 #include "node/node.h"
 #include "wire/generated/messages_types.h"
 
--- a/src/gateway/request/chat_exchange.cc
+++ b/src/gateway/request/chat_exchange.cc
@@ -8,11 +8,11 @@
 
 #include "base/identifier.h"
 #include "gateway/constants.h"
-#include "gateway/request/responses.h"
 #include "gateway/request/attempt.h"
 #include "gateway/request/attempt_loop.h"
 #include "gateway/request/chat_request.h"
 #include "gateway/request/request_reporting.h"
+#include "gateway/request/responses.h"
 
 namespace valeledge::gateway {
 
--- a/src/host/process/host_core.h
+++ b/src/host/process/host_core.h
@@ -22,11 +22,11 @@
 #include "decisions/quarantine.h"
 #include "host/external_protocol.h"
 #include "host/host_settings.h"
-#include "host/process/slot_handle.h"
 #include "host/process/demand_tracker.h"
 #include "host/process/request_log.h"
 #include "host/process/retry_budgets.h"
 #include "host/process/server_registry.h"
+#include "host/process/slot_handle.h"
 #include "net/http_client.h"
 
 namespace valeledge::host {
--- a/src/host/process/server_limits.h
+++ b/src/host/process/server_limits.h
@@ -48,7 +48,8 @@
   server_limits(host_core& core, server_limit_callbacks callbacks);
 
   // Whether one request may be sent to a server that advertises a limit. If
-  // not, the server's `closed_until` tells until when it receives no requests.
+  // not, the server's `permit_retry_at` tells until when it receives no
+  // requests.
   boost::asio::awaitable<bool> Acquire(std::shared_ptr<known_server> server,
                                        std::int64_t priority);
 
--- a/src/host/request/relay.cc
+++ b/src/host/request/relay.cc
@@ -20,8 +20,8 @@
 #include "host/request/request_trace.h"
 #include "host/request/retry_permit.h"
 #include "host/request/routed_request.h"
-#include "host/request/server_search.h"
 #include "host/request/server_attempt.h"
+#include "host/request/server_search.h"
 
 namespace valeledge::host {
 
--- a/src/membership/gossip.cc
+++ b/src/membership/gossip.cc
@@ -5,8 +5,8 @@
 #include <utility>
 
 #include "membership/gossip_direct.h"
-#include "membership/gossip_updates.h"
 #include "membership/gossip_sync.h"
+#include "membership/gossip_updates.h"
 
 namespace valeledge::membership {
 
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -16,8 +16,8 @@
 
 #include "base/duration.h"
 #include "base/endpoint.h"
-#include "membership/selection_cache.h"
 #include "membership/member.h"
+#include "membership/selection_cache.h"
 #include "membership/soft_state.h"
 #include "wire/generated/messages_types.h"
 
--- a/src/scheduler/process/claim_batcher.h
+++ b/src/scheduler/process/claim_batcher.h
@@ -14,8 +14,8 @@
 
 #include "base/error.h"
 #include "base/metrics.h"
-#include "store/kv_client.h"
 #include "scheduler/process/scheduler_settings.h"
+#include "store/kv_client.h"
 #include "wire/generated/messages_types.h"
 
 namespace valeledge::scheduler {
--- a/src/scheduler/process/main.cc
+++ b/src/scheduler/process/main.cc
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-#include "scheduler/process/scheduler.h"
 #include "node/daemon_main.h"
+#include "scheduler/process/scheduler.h"
 
 int main(int argc, char** argv) {
   using namespace valeledge::scheduler;
--- a/tests/auto/gateway/test_requests.cc
+++ b/tests/auto/gateway/test_requests.cc
@@ -5,9 +5,9 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/request/responses.h"
 #include "gateway/request/chat_request.h"
 #include "gateway/request/event_reader.h"
+#include "gateway/request/responses.h"
 
 namespace {
 
